--- a/src/main/java/flintlead/ids/FunctionNames.java
+++ b/src/main/java/flintlead/ids/FunctionNames.java
@@ -6,8 +6,8 @@
 import java.util.function.ToLongFunction;
 
 /**
- * The names of the functions used last, by number, up to a limit; tells two names with one number
- * apart. Not thread-safe.
+ * A bounded table of the most recently used function names by hash number, which detects two names
+ * with the same number. Not thread-safe.
  */
 public final class FunctionNames {
 
@@ -17,10 +17,15 @@
   private final int capacity;
   private final ToLongFunction<String> hash;
 
-  /** In the order of last use. */
+  /** Names by number, least recently used first. */
   private final Map<Long, String> names = new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
 
-  /** Remembers at most so many names, by the numbers that the hash gives them. */
+  /**
+   * Creates an empty table.
+   *
+   * @param capacity the most names remembered
+   * @param hash returns the number of a name
+   */
   public FunctionNames(int capacity, ToLongFunction<String> hash) {
     this.capacity = capacity;
     this.hash = hash;
@@ -30,8 +35,8 @@
    * Remembers the name.
    *
    * @return its number
-   * @throws IllegalArgumentException if another remembered name has the number: instances and loads
-   *     of one function would be taken for the other's
+   * @throws IllegalArgumentException if another remembered name has the same number, because the
+   *     instances and loads of the two functions would be confused
    */
   public long remember(String name) {
     long number = hash.applyAsLong(name);
@@ -52,12 +57,14 @@
     return number;
   }
 
-  /** The name of a number; null if it was forgotten. Counts as a use. */
+  /**
+   * Returns the name with that number; null if it is not remembered. Counts as a use of the name.
+   */
   public String name(long number) {
     return names.get(number);
   }
 
-  /** How many names are remembered. */
+  /** Returns how many names are remembered. */
   public int size() {
     return names.size();
   }
--- a/src/main/java/flintlead/ids/NameHash.java
+++ b/src/main/java/flintlead/ids/NameHash.java
@@ -4,8 +4,9 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Numbers for names: the first half of the x64 128-bit MurmurHash3, cut to the widths that gateways
- * exchange. The hash walk of each function rests on them, so the hash must never change.
+ * Hashes names to numbers: the first half of the x64 128-bit MurmurHash3, truncated to the widths
+ * that gateways exchange. The hash walk of each function depends on the numbers, so the hash must
+ * never change.
  */
 public final class NameHash {
 
@@ -14,12 +15,12 @@
 
   private NameHash() {}
 
-  /** The host's number, of 32 bits. */
+  /** Returns the 32-bit number of a host. */
   public static long host(String name) {
     return hash("host:" + name) & HOST_BITS;
   }
 
-  /** The function's number, of 40 bits. */
+  /** Returns the 40-bit number of a function. */
   public static long function(String name) {
     return hash("fn:" + name) & FUNCTION_BITS;
   }
--- a/src/main/java/flintlead/ids/package-info.java
+++ b/src/main/java/flintlead/ids/package-info.java
@@ -1,2 +1,5 @@
-/** Stable numbers for names: the same in every gateway and after each restart. */
+/**
+ * Stable numbers for the names of hosts and functions: the same in every gateway and after each
+ * restart.
+ */
 package flintlead.ids;
--- a/src/main/java/flintlead/time/Moment.java
+++ b/src/main/java/flintlead/time/Moment.java
@@ -6,17 +6,17 @@
   /** The start of the clock, before any event. */
   public static final Moment START = new Moment(0);
 
-  /** The moment that much later. */
+  /** Returns the moment later by the span. */
   public Moment plus(Span span) {
     return new Moment(micros + span.micros());
   }
 
-  /** The moment that much earlier. */
+  /** Returns the moment earlier by the span. */
   public Moment minus(Span span) {
     return new Moment(micros - span.micros());
   }
 
-  /** The time from the earlier moment to this one; negative if that is later. */
+  /** Returns the time from the other moment to this one; negative if the other is later. */
   public Span since(Moment earlier) {
     return new Span(micros - earlier.micros);
   }
@@ -31,12 +31,12 @@
     return micros > other.micros;
   }
 
-  /** The earlier of two moments. */
+  /** Returns the earlier of two moments. */
   public static Moment earlier(Moment a, Moment b) {
     return a.micros <= b.micros ? a : b;
   }
 
-  /** The later of two moments. */
+  /** Returns the later of two moments. */
   public static Moment later(Moment a, Moment b) {
     return a.micros >= b.micros ? a : b;
   }
--- a/src/main/java/flintlead/time/Span.java
+++ b/src/main/java/flintlead/time/Span.java
@@ -1,31 +1,31 @@
 package flintlead.time;
 
-/** A length of time, in microseconds. */
+/** A duration in microseconds, which may be negative. */
 public record Span(long micros) implements Comparable<Span> {
 
   public static final Span ZERO = new Span(0);
 
-  /** A number of milliseconds, rounded to microseconds. */
+  /** Returns a span of that many milliseconds, rounded to microseconds. */
   public static Span ofMillis(double millis) {
     return new Span(Math.round(millis * 1000));
   }
 
-  /** The sum of both. */
+  /** Returns the sum of both spans. */
   public Span plus(Span other) {
     return new Span(micros + other.micros);
   }
 
-  /** The difference, which may be negative. */
+  /** Returns the difference, which may be negative. */
   public Span minus(Span other) {
     return new Span(micros - other.micros);
   }
 
-  /** A multiple, rounded to microseconds. */
+  /** Returns the span multiplied by the factor, rounded to microseconds. */
   public Span times(double factor) {
     return new Span(Math.round(micros * factor));
   }
 
-  /** How often the other goes into this one. */
+  /** Returns the ratio of this span to the other. */
   public double over(Span other) {
     return (double) micros / other.micros;
   }
@@ -40,12 +40,12 @@
     return micros > other.micros;
   }
 
-  /** The shorter of both. */
+  /** Returns the shorter of two spans. */
   public static Span shorter(Span a, Span b) {
     return a.micros <= b.micros ? a : b;
   }
 
-  /** The longer of both. */
+  /** Returns the longer of two spans. */
   public static Span longer(Span a, Span b) {
     return a.micros >= b.micros ? a : b;
   }
--- a/src/main/java/flintlead/time/TokenBucket.java
+++ b/src/main/java/flintlead/time/TokenBucket.java
@@ -1,6 +1,6 @@
 package flintlead.time;
 
-/** A token bucket: tokens come in at a rate, are saved up to a bound, and are spent one by one. */
+/** A token bucket: tokens are added at a rate, up to a capacity, and are spent one at a time. */
 public final class TokenBucket {
 
   private static final double MICROS_PER_SECOND = 1e6;
@@ -8,12 +8,12 @@
   private double level;
   private Moment refilledAt;
 
-  /** Creates a bucket that holds so many tokens. */
+  /** Creates a bucket with that many tokens. */
   public TokenBucket(double level) {
     this.level = level;
   }
 
-  /** Adds what has come in since the last call; returns whether there is a whole token. */
+  /** Adds the tokens due since the last call; returns whether there is at least one whole token. */
   public boolean refill(Moment now, double perSecond, double capacity) {
     if (refilledAt != null) {
       level += perSecond * now.since(refilledAt).micros() / MICROS_PER_SECOND;
@@ -23,7 +23,10 @@
     return level >= 1;
   }
 
-  /** Spends a token if there is a whole one; the capacity is one second's tokens, or one token. */
+  /**
+   * Spends a token if there is a whole one. The capacity is the tokens of one second, but at least
+   * one.
+   */
   public boolean tryTake(Moment now, double perSecond) {
     boolean available = refill(now, perSecond, Math.max(1, perSecond));
     if (available) {
@@ -32,12 +35,12 @@
     return available;
   }
 
-  /** Spends a token, which may be more than there is. */
+  /** Spends a token even if there is none, in which case the level becomes negative. */
   public void spend() {
     level -= 1;
   }
 
-  /** Returns a token that was spent in vain. */
+  /** Adds back a token that was spent on something that did not take place. */
   public void refund() {
     level += 1;
   }
--- a/src/main/java/flintlead/time/package-info.java
+++ b/src/main/java/flintlead/time/package-info.java
@@ -1,2 +1,5 @@
-/** Points and lengths of time on a gateway's own clock, in microseconds. */
+/**
+ * Time on a gateway's own clock: moments, durations in microseconds, and rate limiting by token
+ * bucket.
+ */
 package flintlead.time;
