--- a/src/main/java/flintlead/scheduling/AttemptRules.java
+++ b/src/main/java/flintlead/scheduling/AttemptRules.java
@@ -13,18 +13,21 @@
 import flintlead.time.Span;
 import java.util.Arrays;
 
-/** Which attempts an invocation may make: rules 2 (no effect twice) and 3 (draining hosts). */
+/**
+ * Decides which attempts an invocation may make: rule 2 (no side effect runs twice) and rule 3 (no
+ * new work for draining hosts).
+ */
 final class AttemptRules {
 
-  /** Clock ticks kept clear before a deadline or the end of an idempotency key's window. */
+  /** Safety margin, in clock ticks, before a deadline or the end of an idempotency key's window. */
   private static final int DEADLINE_MARGIN_TICKS = 2;
 
-  /** Time to keep clear before a deadline. */
+  /** Safety margin before a deadline or the end of an idempotency key's window. */
   final Span margin;
 
   private final SchedulerState state;
 
-  /** Attempts allowed, by trigger type. */
+  /** Attempt limits, indexed by trigger type. */
   private final int[] attemptLimits;
 
   AttemptRules(SchedulerState state) {
@@ -34,7 +37,10 @@
         state.deployment.triggerTypes().stream().mapToInt(this::attemptLimit).toArray();
   }
 
-  /** The operators' wish: retries go by billed value, relative to the largest of all types. */
+  /**
+   * Scales the attempt limit by the type's billed value relative to the highest of all types: the
+   * operators want retries to go to the invocations that are worth most.
+   */
   private int attemptLimit(TriggerType type) {
     int most = Math.max(1, state.deployment.attemptLimit());
     double highest = state.deployment.highestBilledValue();
@@ -44,14 +50,17 @@
     return Math.min(most, 1 + (int) Math.ceil((most - 1) * type.billedValue() / highest));
   }
 
-  /** An attempt that never left for want of a lease does not count: each host has one at most. */
+  /**
+   * Whether the invocation has reached its attempt limit. Attempts that were never sent because the
+   * host's lease could not be renewed do not count; there is at most one of them for each host.
+   */
   boolean attemptsExhausted(InvocationState invocation) {
     long sent =
         invocation.attempts.stream().filter(attempt -> attempt.outcome != Outcome.UNPROVEN).count();
     return sent >= attemptLimits[invocation.spec.triggerType()];
   }
 
-  /** Rule 2: whether another attempt of this invocation may go to that host now. */
+  /** Rule 2: whether another attempt of the invocation may be sent to the host now. */
   boolean mayAttempt(InvocationState invocation, Host host) {
     if (invocation.settled
         || attemptsExhausted(invocation)
@@ -66,7 +75,8 @@
     if (invocation.type.effect() == Effect.NON_IDEMPOTENT) {
       return false;
     }
-    // Behind an address whose connections broke may live a process of another group by now.
+    // While the host list is stale, an address that could not be reached may by now belong to a
+    // process of another group.
     if (invocation.type.group() != Group.ALL && (isInDoubt(first.host) || isInDoubt(host))) {
       return false;
     }
@@ -79,7 +89,7 @@
     return !state.leases.isIdentityKnown(host.id(), state.now());
   }
 
-  /** Whether time is left for another attempt, and some host may take it. */
+  /** Whether there is time for another attempt and a host that may be sent it. */
   boolean mayRetry(InvocationState invocation) {
     return !attemptsExhausted(invocation)
         && state.now().plus(margin).isBefore(invocation.deadline)
@@ -92,7 +102,9 @@
     return Arrays.stream(state.hosts.listed()).anyMatch(this::acceptsNewWork);
   }
 
-  /** Rule 2: whether the client may be told that a retry is harmless. */
+  /**
+   * Rule 2: whether the invocation may be rejected, which tells the client that a retry is safe.
+   */
   boolean mayReject(InvocationState invocation) {
     return switch (invocation.type.effect()) {
       case IDEMPOTENT -> true;
@@ -103,8 +115,8 @@
   }
 
   /**
-   * Rule 3: nothing new to a host that drains or is gone, once this gateway counts as notified. The
-   * list alone does not tell: it may be out of date.
+   * Rule 3: a host that is draining or gone is sent no new work once this gateway counts as
+   * notified. The lease is checked as well as the host list, because the list may be out of date.
    */
   boolean acceptsNewWork(Host host) {
     return host.isReady()
--- a/src/main/java/flintlead/scheduling/CapacityLimits.java
+++ b/src/main/java/flintlead/scheduling/CapacityLimits.java
@@ -13,19 +13,28 @@
 import flintlead.time.Span;
 import flintlead.time.TokenBucket;
 
-/** Concurrency limits, the load limit, slow start (rule 4) and the rate of load orders (rule 5). */
+/**
+ * Limits on what hosts are sent: concurrency for each host, own loads in flight, slow start (rule
+ * 4) and the rate of load orders (rule 5).
+ */
 final class CapacityLimits {
 
-  /** Paper: no load goes to a host that answered full within this time. */
+  /** As in the paper: a host that answered full is sent no load for this time. */
   static final Span FULL_BACKOFF = Span.ofMillis(1000);
 
-  /** Concurrency limit of a host, own attempts only: initial value and bounds. */
+  /**
+   * Initial value and bounds of a host's concurrency limit, which counts this gateway's attempts
+   * only.
+   */
   private static final double INITIAL_CONCURRENCY = 4;
 
   private static final double MIN_CONCURRENCY_OF_ALL_GATEWAYS = 5;
   private static final double MAX_CONCURRENCY = 24;
 
-  /** Relative latency above which a limit shrinks; the limits of many gateways swing alike. */
+  /**
+   * Relative latency above which a concurrency limit is decreased. It is lower with many gateways,
+   * because their limits rise and fall together.
+   */
   private static final double TARGET_RELATIVE_LATENCY = 0.35;
 
   private static final double TARGET_RELATIVE_LATENCY_OF_MANY = 0.27;
@@ -35,18 +44,24 @@
   private static final double CONCURRENCY_INCREASE = 0.5;
   private static final double LOAD_LIMIT_INCREASE = 1;
 
-  /** Objectives between decreases: answers to earlier attempts must come in first. */
+  /**
+   * Minimum time between decreases, in latency objectives: answers to earlier attempts must arrive
+   * first.
+   */
   private static final double DECREASE_INTERVAL_OBJECTIVES = 0.25;
 
-  /** Limit of own loads in flight: initial value and minimum. */
+  /** Initial value and minimum of the limit on this gateway's loads in flight. */
   private static final double INITIAL_LOAD_LIMIT = 16;
 
   private static final double MIN_LOAD_LIMIT = 4;
 
-  /** Share of the gateway's part of a warming host's budget that is used. */
+  /** Fraction that is used of this gateway's share of a warming host's budget. */
   private static final double SLOW_START_SHARE = 0.8;
 
-  /** Shortest time a rate is measured over: a few answers by chance would look like many. */
+  /**
+   * Minimum time over which a rate is measured: over a shorter time, a few answers that arrive
+   * close together would give too high a rate.
+   */
   private static final Span MIN_RATE_WINDOW = Span.ofMillis(8000);
 
   private static final Span MAX_RATE_WINDOW = Span.ofMillis(300_000);
@@ -73,7 +88,7 @@
     this.answers = new PeakRate(state.now(), MIN_RATE_WINDOW, MAX_RATE_WINDOW);
   }
 
-  /** Forgets the past of a host whose process started anew. */
+  /** Resets the limits of a host that is new or whose process has restarted. */
   void reset(Host host) {
     host.slowStartTokens = new TokenBucket(state.random.nextDouble());
     host.fullUntil = Moment.START;
@@ -85,7 +100,10 @@
     return host.inFlight < host.concurrencyLimit.value();
   }
 
-  /** Adapts the host's limit to the latency of its warm answers relative to the objectives. */
+  /**
+   * Adjusts the host's concurrency limit to the latency of its warm answers relative to the latency
+   * objective.
+   */
   void adjustConcurrencyLimit(Attempt attempt) {
     if (!attempt.warm || attempt.remark.loadInvolved()) {
       return;
@@ -106,7 +124,10 @@
     limit.decrease(state.now(), interval, inUse, LIMIT_DECREASE);
   }
 
-  /** A host that answers full has no capacity beyond what it has in flight. */
+  /**
+   * Pauses loads at a host that answered full, and lowers its concurrency limit to the attempts in
+   * flight there.
+   */
   void recordFull(Host host) {
     pauseLoads(host);
     host.concurrencyLimit.cap(host.inFlight);
@@ -120,7 +141,7 @@
     return state.loadsInFlight < loadLimit.value();
   }
 
-  /** Whether a function that is loaded at some hosts may be loaded at one more. */
+  /** Whether a function that is already loaded on some hosts may be loaded on one more. */
   boolean maySpill() {
     return spillBudget.isAvailable();
   }
@@ -130,8 +151,9 @@
   }
 
   /**
-   * Late, refused or failed loads lower the limit of own loads in flight, quick ones raise it.
-   * Covers a slow store or crowded hosts. Harms where a load always outlasts the objective.
+   * Lowers the limit on own loads in flight after slow, refused or failed loads, and raises it
+   * after fast ones. This limits the load on a slow store or on overloaded hosts. It is harmful
+   * where every load takes longer than the latency objective.
    */
   void adjustLoadLimit(Attempt attempt) {
     if (attempt.warm) {
@@ -152,7 +174,7 @@
     answers.record(state.now());
   }
 
-  /** Counts an attempt against the budget of a host that is warming up. */
+  /** Counts the attempt against the slow-start budget of its host if that is warming up. */
   void recordAttempt(Attempt attempt) {
     if (isWarmingUp(attempt.host)) {
       attempt.host.slowStartTokens.spend();
@@ -160,10 +182,13 @@
   }
 
   /**
-   * Rule 4: all gateways together send a warming host what it can do, if each keeps to its part.
-   * What the average host answered this gateway is a lower bound of its part of a warm host's rate;
-   * attempts would grow without bound when everything fails. A part below one attempt is saved up
-   * from a random start, so that the sum over many gateways holds.
+   * Rule 4: all gateways together send a warming host no more than it can serve, provided that each
+   * gateway keeps to its share.
+   *
+   * <p>The rate of successful answers that this gateway gets from an average host is a lower bound
+   * of its share of a warm host's rate. The rate of attempts is not used, because it would grow
+   * without bound when everything fails. Shares below one attempt accumulate from a random initial
+   * level, so that the sum over many gateways stays within the limit.
    */
   boolean slowStartAllows(Host host) {
     if (!isWarmingUp(host)) {
@@ -186,7 +211,8 @@
   }
 
   /**
-   * A process that came back behind a list that can't tell is taken to be as young as it may be.
+   * When the host's process started: by the host list or, if the process may have restarted while
+   * the list was stale, the latest time at which it may have.
    */
   private Moment startedAt(Host host) {
     return Moment.later(host.entry.startedAt(), state.leases.presumedStart(host.id(), state.now()));
--- a/src/main/java/flintlead/scheduling/HostHealth.java
+++ b/src/main/java/flintlead/scheduling/HostHealth.java
@@ -6,13 +6,22 @@
 import flintlead.time.Moment;
 import flintlead.time.Span;
 
-/** Outlier ejection: hosts that fail, refuse connections or stay silent take no invocations. */
+/**
+ * Outlier ejection: hosts that fail, refuse connections or do not answer are sent no invocations
+ * for a while.
+ */
 final class HostHealth {
 
-  /** Not a fixed time: where an invocation works for a second, all hosts would be silent. */
+  /**
+   * Time without an answer after which a host counts as silent, in latency objectives. With a fixed
+   * time all hosts would count as silent where an invocation runs for a second.
+   */
   private static final double SILENT_AFTER_OBJECTIVES = 1;
 
-  /** Silent attempts that eject a host where moving an invocation means cancelling it. */
+  /**
+   * Silent attempts after which a host is ejected where hedging is not supported, as moving an
+   * invocation elsewhere then means cancelling its attempt.
+   */
   private static final int SILENT_ATTEMPTS_TO_EJECT = 3;
 
   /** Failure rate above which a host is ejected, and the weight of a new outcome in that rate. */
@@ -20,13 +29,19 @@
 
   private static final double FAILURE_RATE_WEIGHT = 0.2;
 
-  /** An ejected host is tried again after this time, doubled with each ejection in a row. */
+  /**
+   * Duration of a first ejection, doubled with each consecutive one; the host is tried again after
+   * it.
+   */
   private static final Span BASE_EJECTION = Span.ofMillis(1500);
 
   private static final Span MAX_EJECTION = Span.ofMillis(8000);
   private static final int MAX_EJECTION_DOUBLINGS = 8;
 
-  /** With more than this share of the hosts ejected the fault is not theirs: none is left out. */
+  /**
+   * If more than this share of the hosts is ejected, the cause is assumed to lie elsewhere, and
+   * ejections are ignored.
+   */
   private static final double MAX_EJECTED_SHARE = 0.5;
 
   private final SchedulerState state;
@@ -40,7 +55,10 @@
     return invocation.type.latencyObjective().times(SILENT_AFTER_OBJECTIVES);
   }
 
-  /** An ejected host takes nothing, then one invocation as a trial. */
+  /**
+   * Whether the host is ejected and may be sent nothing. After the time of its ejection it gets one
+   * invocation at a time as a trial, until one succeeds.
+   */
   boolean isEjected(Host host) {
     double mostEjected = MAX_EJECTED_SHARE * state.hosts.listed().length;
     if (host.consecutiveEjections == 0 || state.hosts.ejectedCount() > mostEjected) {
@@ -62,8 +80,9 @@
   }
 
   /**
-   * Counts a silent attempt and ejects its host once there are enough; returns whether there were.
-   * A host may be just slow where a gateway seldom hears of it: without hedging, it takes more.
+   * Counts a silent attempt and ejects its host if there have been enough; returns whether there
+   * were. Without hedging more are required, because a host that this gateway rarely gets answers
+   * from may just be slow.
    */
   boolean ejectIfSilent(Host host) {
     int enough = state.deployment.supportsHedging() ? 1 : SILENT_ATTEMPTS_TO_EJECT;
@@ -86,7 +105,7 @@
     state.hosts.clearEjections(host);
   }
 
-  /** Forgets the past of a host whose process started anew. */
+  /** Resets the health of a host that is new or whose process has restarted. */
   void reset(Host host) {
     host.failureRate = 0;
     host.consecutiveEjections = 0;
--- a/src/main/java/flintlead/scheduling/Placement.java
+++ b/src/main/java/flintlead/scheduling/Placement.java
@@ -13,32 +13,42 @@
 import flintlead.time.Span;
 
 /**
- * Where an invocation goes: the warm search over all hosts, the hash walk for a load, and over how
- * many hosts a function is spread. Departures from the paper are marked, each with its reason.
+ * Chooses the host of an invocation: a warm host if possible, otherwise a host on the function's
+ * hash walk that loads the function. Also decides over how many hosts a function is spread.
+ *
+ * <p>The algorithm follows the paper. Departures from it are marked, each with its reason.
  */
 final class Placement {
 
-  /** Concurrency of a function aimed at per host, and the largest changes of its replicas. */
+  /**
+   * Target concurrency of a function at each host, and the largest factors by which one answer
+   * changes the function's replica target.
+   */
   private static final double TARGET_CONCURRENCY = 3;
 
   private static final double MAX_SPREAD_INCREASE = 2;
   private static final double MAX_SPREAD_DECREASE = 0.8;
 
-  /** A replica target that changed by this factor is gossiped, after a delay, to some peers. */
+  /** A replica target that has changed by this factor is gossiped to some peers after a delay. */
   private static final double GOSSIP_CHANGE_FACTOR = 2;
 
   private static final Span GOSSIP_DELAY = Span.ofMillis(300);
   private static final int GOSSIP_FANOUT = 3;
 
-  /** Until answers are measured, a warm one takes this share of the shortest objective. */
+  /**
+   * Initial estimate of the warm response time, as a share of the shortest latency objective; used
+   * until answers are measured.
+   */
   private static final double INITIAL_WARM_RESPONSE = 0.2;
 
   private static final double WARM_RESPONSE_WEIGHT = 0.02;
 
-  /** A load in flight is joined until it has taken this multiple of the usual time. */
+  /**
+   * Invocations wait for a load in flight until it has taken this multiple of its expected time.
+   */
   private static final double MAX_LOAD_FACTOR = 2.0;
 
-  /** A typical load where the invocation does not say. */
+  /** Expected load time if the invocation gives no hint. */
   private static final Span DEFAULT_LOAD_TIME = Span.ofMillis(800);
 
   private final SchedulerState state;
@@ -57,17 +67,21 @@
     this.warmResponseTime = state.deployment.shortestObjective().times(INITIAL_WARM_RESPONSE);
   }
 
-  /** What a warm answer takes on average. */
+  /** Returns the moving average of the response time of warm instances. */
   Span warmResponseTime() {
     return warmResponseTime;
   }
 
   /**
-   * Paper: the host believed warm and with capacity that has fewest own in flight, ties at random.
-   * Departure: while the host list is out of date, hosts whose lease holds go before those that
-   * need a probe first. Departure: of a function spread over several hosts each takes its part
-   * only, by chance, as one gateway sees too little traffic to fill a host and learn that another
-   * is needed.
+   * Returns the host for a warm start; null if a further host is to load the function, or no host
+   * is warm and has capacity.
+   *
+   * <p>As in the paper, this is the host believed to be warm, with capacity and the fewest own
+   * attempts in flight; ties are broken at random. Departure: while the host list is out of date,
+   * hosts with a valid lease take precedence over hosts that need a probe first. Departure: of a
+   * function spread over several hosts, each host takes only its share, decided by a random draw,
+   * because one gateway sees too little traffic to fill a host and so to learn that another is
+   * needed.
    */
   Host warmHost(InvocationState invocation) {
     Moment now = state.now();
@@ -100,19 +114,24 @@
         && estimate.inFlight < invocation.slotsPerInstance * estimate.instances;
   }
 
-  /** Negative where the first host is the better one. */
+  /** Returns a negative number if the first host is the better one. */
   private double compare(Host one, Host other) {
     boolean proven = state.leases.holds(one.id(), state.now());
     boolean otherProven = state.leases.holds(other.id(), state.now());
     return proven == otherProven ? compareLoad(one, other) : proven ? -1 : 1;
   }
 
-  /** Departure: attempts in flight relative to the weight of the host, as weights differ. */
+  /**
+   * Departure: compares the attempts in flight relative to the hosts' weights, as weights differ.
+   */
   private static double compareLoad(Host one, Host other) {
     return one.inFlight * other.entry.weight() - other.inFlight * one.entry.weight();
   }
 
-  /** Departure: queue when an own slot or load comes free sooner than a further load would end. */
+  /**
+   * Departure: whether to queue the invocation, because an own slot or load becomes free before a
+   * further load would complete.
+   */
   boolean slotFreeSoon(InvocationState invocation) {
     Moment now = state.now();
     Span loadTime = loadTime(invocation);
@@ -139,7 +158,11 @@
         && now.plus(wait).isBefore(invocation.queueUntil);
   }
 
-  /** Paper: the hash walk over the hosts from the function's home, the same from all gateways. */
+  /**
+   * Returns the host that is to load the function; null if there is none. As in the paper, it is
+   * searched for along the hash walk, which begins at the function's home and is the same at all
+   * gateways.
+   */
   Host firstHostOnWalk(InvocationState invocation) {
     if (!capacity.mayStartLoad() || !capacity.maySpill() && isWarmSomewhere(invocation)) {
       return null;
@@ -157,7 +180,9 @@
     return last;
   }
 
-  /** Whether a host that the invocation could go to is believed to have its function loaded. */
+  /**
+   * Whether some host that the invocation may be sent to is believed to have its function loaded.
+   */
   boolean isWarmSomewhere(InvocationState invocation) {
     for (InstanceEstimate estimate : invocation.function.estimates) {
       if (believedInstances(estimate) > 0 && usable(invocation, estimate.host)) {
@@ -174,7 +199,10 @@
         && state.loadOrders.find(host, invocation.function.id) == null;
   }
 
-  /** Whether the rules, the host's health and the invocation's own attempts allow one there now. */
+  /**
+   * Whether the rules, the state of the host and the invocation's earlier attempts allow an attempt
+   * there now.
+   */
   private boolean usable(InvocationState invocation, Host host) {
     return rules.acceptsNewWork(host)
         && !health.isEjected(host)
@@ -183,18 +211,21 @@
         && capacity.slowStartAllows(host);
   }
 
-  /** How long a load by this invocation usually takes. */
+  /** Returns the expected time of a load for the invocation. */
   private static Span loadTime(InvocationState invocation) {
     Span hint = invocation.spec.loadHint();
     return hint.micros() > 0 ? hint : DEFAULT_LOAD_TIME;
   }
 
-  /** After this time a load by this invocation is no longer expected to end. */
+  /** Returns the time after which a load for the invocation is no longer expected to complete. */
   static Span longestLoad(InvocationState invocation) {
     return loadTime(invocation).times(MAX_LOAD_FACTOR);
   }
 
-  /** An estimate expires after the configured keep-alive without use. */
+  /**
+   * Returns the estimated number of loaded instances. The estimate expires after the configured
+   * keep-alive time without use.
+   */
   private int believedInstances(InstanceEstimate estimate) {
     return estimate.instances(state.now(), state.deployment.instanceKeepAlive());
   }
@@ -217,7 +248,10 @@
     }
   }
 
-  /** Departure: a peer's observation makes an estimate where this gateway has none of its own. */
+  /**
+   * Departure: takes a peer's observation as the estimate where this gateway has observed nothing
+   * itself.
+   */
   void mergeObservation(long hostId, long functionId, int instances, Span age) {
     Host host = state.hosts.find(hostId);
     if (host == null) {
@@ -234,7 +268,11 @@
     }
   }
 
-  /** Departure: a function with many in flight at a host is spread over more hosts of the walk. */
+  /**
+   * Departure: adjusts the function's replica target to the concurrency that the host reported, so
+   * that a function with many invocations in flight at a host is spread over more hosts of the
+   * walk.
+   */
   void recordConcurrency(Attempt attempt) {
     boolean full = attempt.outcome == Outcome.FULL;
     if (!state.deployment.reportsConcurrency()
--- a/src/main/java/flintlead/scheduling/ReleaseOrder.java
+++ b/src/main/java/flintlead/scheduling/ReleaseOrder.java
@@ -9,16 +9,22 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 
-/** Which queued invocation goes first, and until when one is queued at all. */
+/** Decides in which order queued invocations are sent, and how long an invocation may be queued. */
 final class ReleaseOrder {
 
-  /** The queue is looked at this often while there is anything in it. */
+  /** Interval at which the queue is checked while it is not empty. */
   private static final Span POLL_INTERVAL = Span.ofMillis(20);
 
-  /** Priority, as a share of the usual, of a client's retry or an invocation beyond its quota. */
+  /**
+   * Factor applied to the priority of a client's retry, or of an invocation beyond its customer's
+   * quota.
+   */
   private static final double REDUCED_PRIORITY = 0.1;
 
-  /** Longest time in the queue, as a share of the objective or of the client's timeout. */
+  /**
+   * Longest time in the queue, as a share of the latency objective or of the client's timeout,
+   * whichever is shorter.
+   */
   private static final double MAX_QUEUED_SHARE = 0.35;
 
   private final SchedulerState state;
@@ -29,7 +35,12 @@
   private final CustomerQuotas quotas;
   private boolean polling;
 
-  /** {@code schedule} returns whether it sent the invocation, {@code abandon} answers it. */
+  /**
+   * Creates an empty queue.
+   *
+   * @param schedule sends an invocation if it can; returns whether it did
+   * @param abandon gives an invocation that is not sent its final answer
+   */
   ReleaseOrder(
       SchedulerState state,
       Placement placement,
@@ -42,7 +53,10 @@
     this.quotas = new CustomerQuotas(state);
   }
 
-  /** Sets priority and time in the queue; a retry's objective ran from the first request. */
+  /**
+   * Sets the invocation's priority and its longest time in the queue. A client's retry has a
+   * reduced priority, because its latency objective has run since the first request.
+   */
   void prioritize(InvocationState invocation, Moment now) {
     invocation.overQuota = !quotas.tryTake(invocation.spec.customer(), now);
     boolean reduced = invocation.overQuota || invocation.spec.clientRetry();
@@ -51,7 +65,10 @@
     invocation.queueUntil = now.plus(shorter.times(MAX_QUEUED_SHARE));
   }
 
-  /** An invocation that was rejected does not count against its customer's quota. */
+  /**
+   * Returns the quota token of a rejected invocation, which does not count against its customer's
+   * quota.
+   */
   void refundQuota(InvocationState invocation) {
     if (!invocation.overQuota) {
       quotas.refund(invocation.spec.customer());
@@ -79,7 +96,10 @@
     releasePending();
   }
 
-  /** Releases queued invocations by priority, then oldest first. */
+  /**
+   * Abandons expired invocations, then sends the others by priority and age, as far as hosts have
+   * capacity.
+   */
   void releasePending() {
     if (!queue.isEmpty()) {
       abandonExpired();
@@ -87,14 +107,20 @@
     }
   }
 
-  /** Returns whether the next invocation of the same function is worth a try. */
+  /**
+   * Sends the invocation if it can; returns whether the next one of the same function should be
+   * tried too.
+   */
   private boolean release(InvocationState invocation) {
     boolean awaitsLoad = state.loadOrders.contains(invocation);
     boolean sent = !awaitsLoad && schedule.test(invocation);
     return sent || awaitsLoad || !invocation.attempts.isEmpty();
   }
 
-  /** Abandons what not even a warm answer would serve in time, and what was queued too long. */
+  /**
+   * Abandons invocations that not even a warm answer would serve in time, and those queued for too
+   * long.
+   */
   private void abandonExpired() {
     Moment now = state.now();
     for (InvocationState expired : queue.expired(now.plus(placement.warmResponseTime()), now)) {
--- a/src/main/java/flintlead/scheduling/Scheduler.java
+++ b/src/main/java/flintlead/scheduling/Scheduler.java
@@ -18,21 +18,28 @@
 import java.util.List;
 
 /**
- * Schedules the invocations of one gateway on hosts: submit, schedule, send, retry, final answer.
- * The decisions on that path belong to the classes beside this one. Calls come one at a time.
+ * Schedules the invocations of one gateway on hosts, from submission through attempts and retries
+ * to the final answer. The decisions on the way are made by the other classes of this package.
+ *
+ * <p>Not thread-safe: calls must come one at a time.
  */
 public final class Scheduler implements SchedulingPolicy, InvocationEvents {
 
-  /** Paper: load orders after a miss that one gateway may have in flight. */
+  /** As in the paper: the most load orders after a miss that one gateway may have in flight. */
   private static final int MAX_MISS_LOAD_ORDERS = 2;
 
-  /** Retry-After of a rejected invocation. */
+  /** Retry-After of a rejected invocation while some host accepts work. */
   private static final Span RETRY_AFTER = Span.ofMillis(150);
 
-  /** The same while no host may be sent anything: only news of the hosts changes that. */
+  /**
+   * Retry-After while no host accepts work, which only a change in the state of the hosts can end.
+   */
   private static final Span RETRY_AFTER_WITHOUT_HOSTS = Span.ofMillis(1_000);
 
-  /** Bounds for a gateway that runs for months: functions and departed hosts remembered. */
+  /**
+   * Most functions and departed hosts remembered. They bound the memory of a gateway that runs for
+   * months.
+   */
   private static final int MAX_FUNCTIONS = 16_384;
 
   private static final int MAX_DEPARTED_HOSTS = 1_024;
@@ -46,7 +53,7 @@
   private final Placement placement;
   private final ReleaseOrder release;
 
-  /** Creates the scheduler of one gateway; {@code seed} sets every random choice. */
+  /** Creates the scheduler of one gateway; {@code seed} determines all random choices. */
   public Scheduler(SchedulerContext context, Deployment deployment, long seed) {
     this.context = context;
     this.deployment = deployment;
@@ -67,14 +74,15 @@
     capacity.recordArrival(now);
     InvocationState invocation = state.newInvocation(id, spec, this);
     release.prioritize(invocation, now);
-    // Rule 1: one timer for the whole invocation, so that a queued or retried one is answered too.
+    // Rule 1: one timer covers the whole invocation, so that it is also answered in time while it
+    // is queued or retried.
     Moment answerAt = Moment.later(now, invocation.deadline.minus(rules.margin));
     invocation.cancelTimer = context.schedule(answerAt, invocation::abandon);
     schedule(invocation);
     return invocation;
   }
 
-  /** Sends the invocation or queues it; returns false when it is (still) queued. */
+  /** Sends the invocation or queues it; returns whether it was sent. */
   private boolean schedule(InvocationState invocation) {
     Host host = placement.warmHost(invocation);
     boolean warm = host != null;
@@ -121,7 +129,10 @@
     }
   }
 
-  /** Moves an invocation off a host that answers nothing, as far as rule 2 allows. */
+  /**
+   * Moves an invocation off a silent host, by a hedged attempt or by cancelling the attempt there,
+   * as far as rule 2 allows.
+   */
   private void hedgeOrCancel(Attempt attempt) {
     InvocationState invocation = attempt.invocation;
     if (invocation.attemptsInFlight > 1 || rules.attemptsExhausted(invocation)) {
@@ -141,8 +152,8 @@
   public void attemptEnded(Attempt attempt, boolean answered) {
     InvocationState invocation = attempt.invocation;
     if (attempt.outcome == Outcome.CONNECTION_LOST) {
-      // The host lives, only the connection broke: else one of three addresses takes the host
-      // along.
+      // Only the connection broke and the host is alive, so it may be tried again. Otherwise the
+      // loss of one of a host's three addresses would exclude the whole host.
       invocation.retryableHost = attempt.host;
     }
     recordOutcome(attempt);
@@ -159,7 +170,7 @@
     release.releasePending();
   }
 
-  /** Updates what is known of the host, and of the function on it, by the outcome of an attempt. */
+  /** Updates the state of the host, and of the function on it, from the outcome of an attempt. */
   private void recordOutcome(Attempt attempt) {
     Host host = attempt.host;
     state.attemptEnded(attempt);
@@ -197,7 +208,11 @@
     }
   }
 
-  /** Paper: after a miss, queue, order one instance there, send once it is loaded, else walk on. */
+  /**
+   * As in the paper: after a miss, queues the invocation and orders one instance at the host. The
+   * invocation is sent there once the instance is loaded, and to another host if the load fails.
+   * Returns false if no load may be ordered.
+   */
   private boolean orderLoadAfterMiss(Attempt attempt) {
     InvocationState invocation = attempt.invocation;
     Host host = attempt.host;
@@ -218,7 +233,9 @@
     return true;
   }
 
-  /** Gives the final answer at once: rejected where a client's retry is harmless, else failed. */
+  /**
+   * Gives the final answer at once: rejected if a retry by the client is safe, otherwise failed.
+   */
   @Override
   public void abandon(InvocationState invocation) {
     if (invocation.settled) {
@@ -249,7 +266,8 @@
 
   @Override
   public void responseStarted(Attempt attempt) {
-    // A streamed answer belongs to its client: scheduling is over here, the outcome still to come.
+    // A streamed response is already on its way to the client, so the invocation needs no further
+    // scheduling. Its outcome is reported later.
     attempt.invocation.settled = true;
     release.dequeue(attempt.invocation);
     attempt.host.recordAnswer(context.now());
@@ -275,7 +293,10 @@
     release.releasePending();
   }
 
-  /** A process that starts, under the same id too, has nothing loaded and no past. */
+  /**
+   * Resets the health and the limits of a host that is new, or whose process restarted under the
+   * same id: nothing known of the previous process applies to it, and no function is loaded.
+   */
   private void hostStarted(Host host) {
     health.reset(host);
     capacity.reset(host);
@@ -310,7 +331,10 @@
     placement.mergeGossip(message);
   }
 
-  /** More than configured make each one's share smaller; fewer not larger: the missing may live. */
+  /**
+   * More gateways than configured make the share of each smaller. Fewer do not make it larger,
+   * because the missing ones may still be running.
+   */
   @Override
   public void gatewayCountChanged(int count) {
     state.gateways = Math.max(Math.max(1, deployment.gateways()), count);
--- a/src/main/java/flintlead/scheduling/package-info.java
+++ b/src/main/java/flintlead/scheduling/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Every decision about an invocation. {@link flintlead.scheduling.Scheduler} has the path of an
- * invocation; placement, attempt rules, host health, capacity limits and the order of release are
- * classes beside it.
+ * Makes all decisions about invocations. {@link flintlead.scheduling.Scheduler} takes an invocation
+ * from submission to its final answer; placement, attempt rules, host health, capacity limits and
+ * release order have a class each.
  */
 package flintlead.scheduling;
