--- a/src/main/java/flintlead/scheduling/lease/HostLease.java
+++ b/src/main/java/flintlead/scheduling/lease/HostLease.java
@@ -4,41 +4,47 @@
 import flintlead.time.Span;
 import flintlead.time.TokenBucket;
 
-/** What one gateway knows of one host without the host list. */
+/** The lease of one host, and the probes that can renew it while the host list is not current. */
 final class HostLease {
 
-  /** After a denied or unanswered probe the host is left alone; doubled with each in a row. */
+  /** Backoff after a denied or unanswered probe, doubled with each consecutive one. */
   private static final Span FIRST_PROBE_PAUSE = Span.ofMillis(400);
 
   private static final int MAX_PAUSE_DOUBLINGS = 3;
 
-  /** Probes to a host that may be saved up. */
+  /** Most probes to a host that may accumulate in its token bucket. */
   private static final double PROBE_BURST = 2;
 
   private final LeaseTerms terms;
   private final TokenBucket probes = new TokenBucket(PROBE_BURST);
 
-  /** When the latest proof was asked for; null where there is none. */
+  /** When the request of the latest proof was sent; null if there is no proof. */
   private Moment provenAt;
 
-  /** Proofs asked for before that are void; null where all count. */
+  /**
+   * When the host was last found unreachable; proofs whose requests were sent by then are void.
+   * Null if it never was.
+   */
   private Moment unreachableAt;
 
-  /** The first proof since the host could not be reached; null where there is none. */
+  /** When the request of the first proof after that was sent; null if there is none. */
   private Moment provenAgainAt;
 
   private Moment pausedUntil = Moment.START;
   private int failedProbes;
   private boolean probing;
 
-  /** Whether the host was last found usable; null before it was found either way. */
+  /** Whether the host was last recorded as usable; null if nothing was recorded. */
   private Boolean reportedUsable;
 
   HostLease(LeaseTerms terms) {
     this.terms = terms;
   }
 
-  /** Renews the lease from when the proof was asked for; returns whether the proof counts. */
+  /**
+   * Renews the lease from the time at which the request of a proof was sent; returns false if the
+   * proof is void.
+   */
   boolean prove(Moment askedAt) {
     if (unreachableAt != null && !askedAt.isAfter(unreachableAt)) {
       return false;
@@ -52,12 +58,15 @@
     return true;
   }
 
-  /** Ends the lease: only a new proof renews it. */
+  /** Ends the lease until a new proof renews it. */
   void end() {
     provenAt = null;
   }
 
-  /** Ends the lease, as another process may live there later. */
+  /**
+   * Ends the lease and voids the proofs requested by then, as another process may run at the host's
+   * address later.
+   */
   void unreachable(Moment at) {
     end();
     unreachableAt = at;
@@ -68,12 +77,12 @@
     return provenAt != null && now.isBefore(provenAt.plus(terms.duration()));
   }
 
-  /** When it could last not be reached; null where it always could. */
+  /** Returns when the host was last found unreachable; null if it never was. */
   Moment unreachableAt() {
     return unreachableAt;
   }
 
-  /** The first proof since then; null where there is none. */
+  /** Returns when the request of the first proof after that was sent; null if there is none. */
   Moment provenAgainAt() {
     return provenAgainAt;
   }
@@ -101,21 +110,24 @@
     probing = false;
   }
 
-  /** The probe that has just ended proved nothing. */
+  /** Ends the lease and begins a backoff, after a probe that proved nothing. */
   void probeFailed(Moment now) {
     end();
     int doublings = Math.min(failedProbes++, MAX_PAUSE_DOUBLINGS);
     pausedUntil = now.plus(FIRST_PROBE_PAUSE.times(1L << doublings));
   }
 
-  /** The list speaks for the host again. */
+  /** Clears the recorded state and the probe failures, as the host list is current again. */
   void listCurrent() {
     reportedUsable = null;
     failedProbes = 0;
     pausedUntil = Moment.START;
   }
 
-  /** Notes what the host was found to be; returns whether that is news. */
+  /**
+   * Records whether the host is usable; returns whether that is a change. Before the first record
+   * it counts as usable.
+   */
   boolean isNews(boolean usable) {
     boolean news = reportedUsable == null ? !usable : reportedUsable != usable;
     reportedUsable = usable;
--- a/src/main/java/flintlead/scheduling/lease/HostLeases.java
+++ b/src/main/java/flintlead/scheduling/lease/HostLeases.java
@@ -7,20 +7,24 @@
 import java.util.Map;
 
 /**
- * Decides whether new work, an attempt or a load order, may be sent to a host. The right to do so
- * is a lease. While the host list is current it renews the leases of all its hosts. When it is not,
- * a host is sent new work only for a part of the drain grace after a proof of its own: a probe that
- * it answered as alive, or work that it took on and served. A proof holds for the time when it was
- * asked for, as the host may have begun to drain right after it answered.
+ * Decides whether new work, an attempt or a load order, may be sent to a host. The permission is a
+ * lease. While the host list is current, it renews the leases of all its hosts. While it is stale,
+ * a host may be sent new work only for a part of the drain grace period after a proof of its own: a
+ * probe that it answered as alive, or work that it accepted and served. A proof counts from the
+ * time at which its request was sent, because the host may have begun to drain right after it
+ * answered.
  *
- * <p>So nothing new goes to a host that drains later than the grace after the gateway counts as
- * notified, whatever has become of discovery. All times are given by the caller.
+ * <p>A host that drains is thus sent no new work later than the drain grace period after the
+ * gateway counts as notified, whatever the state of discovery. The caller provides all times.
  *
  * <p>Not thread-safe.
  */
 public final class HostLeases {
 
-  /** A gateway that starts waits so long for its first word of discovery before it complains. */
+  /**
+   * A list that was never confirmed is reported as stale only after this time, so that a starting
+   * gateway can get its first confirmation from discovery.
+   */
   private static final Span START_PATIENCE = Span.ofMillis(2_000);
 
   private final LeaseTerms terms;
@@ -30,12 +34,12 @@
   private final Map<Long, HostLease> hosts = new HashMap<>();
   private final Map<RefusalReason, Integer> refusals = new EnumMap<>(RefusalReason.class);
 
-  /** When the list was first found stale since it was last current; null while it is current. */
+  /** When the list was reported as stale; null if it has been current since. */
   private Moment staleSince;
 
   private Moment firstCheckAt;
 
-  /** Creates leases of a host list that nobody has confirmed yet. */
+  /** Creates the leases for a host list that is not confirmed yet. */
   public HostLeases(LeaseTerms terms, LeaseListener listener) {
     this(terms, listener, false);
   }
@@ -47,7 +51,10 @@
     this.list = new ListLease(terms);
   }
 
-  /** Leases that never end: whoever gives the host list answers for it being current. */
+  /**
+   * Returns leases that never end, for a host list whose provider is responsible for keeping it
+   * current.
+   */
   public static HostLeases ofAuthoritativeList() {
     return new HostLeases(new LeaseTerms(Span.ZERO, false, 1), LeaseListener.NONE, true);
   }
@@ -55,25 +62,31 @@
   // ---- the host list ----
 
   /**
-   * The list held everything at that time.
+   * Records that the host list was complete.
    *
-   * @param asOf the earliest time at which what shows that may have been written
+   * @param asOf the earliest time at which the message that shows this may have been written
    */
   public void listConfirmed(Moment asOf) {
     list.confirmed(asOf);
   }
 
-  /** The connection to discovery broke, at that time at the earliest. */
+  /**
+   * Records that the connection to discovery broke.
+   *
+   * @param at the earliest time at which it may have broken
+   */
   public void listBroken(Moment at) {
     list.broken(at);
   }
 
-  /** Whether the list renews the leases of all its hosts. */
+  /** Whether the host list is current, so that it renews the leases of all its hosts. */
   public boolean isListCurrent(Moment now) {
     return listIsAuthoritative || list.isCurrent(now);
   }
 
-  /** Reports a list that has become stale or current; to be called regularly. */
+  /**
+   * Tells the listener if the host list has become stale or current; must be called periodically.
+   */
   public void checkList(Moment now) {
     firstCheckAt = firstCheckAt == null ? now : firstCheckAt;
     boolean current = isListCurrent(now);
@@ -102,7 +115,9 @@
     return refusal(lease, now) == null ? SendPermission.AFTER_PROBE : SendPermission.REFUSED;
   }
 
-  /** Why a host whose lease has ended can't be probed; null where it can. */
+  /**
+   * Why a host whose lease has ended cannot be probed; null if it can, or if a probe is in flight.
+   */
   private RefusalReason refusal(HostLease lease, Moment now) {
     if (!terms.probesAllowed()) {
       return RefusalReason.PROBES_FORBIDDEN;
@@ -116,7 +131,7 @@
     return lease.hasProbeLeft(now) ? null : RefusalReason.PROBE_LIMIT;
   }
 
-  /** Whether the host's lease holds, so that new work for it needs no probe. */
+  /** Whether the host's lease is valid, so that new work for it needs no probe. */
   public boolean holds(long host, Moment now) {
     return isListCurrent(now) || lease(host).holds(now);
   }
@@ -125,7 +140,12 @@
     return hosts.computeIfAbsent(host, key -> new HostLease(terms));
   }
 
-  /** The host took new work, or said that it does, when it was asked at that time. */
+  /**
+   * Records a proof that the host accepts new work, and renews its lease unless the proof is void.
+   *
+   * @param askedAt when the request of the proof was sent
+   * @param by what the proof is
+   */
   public void proven(long host, Moment askedAt, HostProof by, Moment now) {
     HostLease lease = lease(host);
     if (lease.prove(askedAt)) {
@@ -133,21 +153,26 @@
     }
   }
 
-  /** The host turned new work away: it may drain. */
+  /** Records that the host rejected new work, and ends its lease: it may be draining. */
   public void turnedAway(long host, Moment now) {
     HostLease lease = lease(host);
     lease.end();
     report(host, lease, false, HostProof.TURNED_AWAY, now);
   }
 
-  /** No connection to the host could be opened: another process may live there from now on. */
+  /**
+   * Records that no connection to the host could be opened, and ends its lease: from now on another
+   * process may run at its address.
+   */
   public void unreachable(long host, Moment now) {
     HostLease lease = lease(host);
     lease.unreachable(now);
     report(host, lease, false, HostProof.UNREACHABLE, now);
   }
 
-  /** The list says that the host's process is new, or that the host is gone. */
+  /**
+   * Removes the lease of a host that is gone, or whose process is new, according to the host list.
+   */
   public void forget(long host) {
     hosts.remove(host);
   }
@@ -160,7 +185,10 @@
 
   // ---- probes ----
 
-  /** Begins a probe of the host if one may be sent; {@link #probeEnded} must follow. */
+  /**
+   * Begins a probe of the host if one may be sent; returns whether it did. If so, {@link
+   * #probeEnded} must follow.
+   */
   public boolean beginProbe(long host, Moment now) {
     HostLease lease = lease(host);
     RefusalReason refusal = refusal(lease, now);
@@ -173,10 +201,11 @@
   }
 
   /**
-   * The probe ended.
+   * Records the end of a probe.
    *
-   * @param askedAt when it was sent
-   * @param result that it proved, or why it proved nothing
+   * @param askedAt when the probe was sent
+   * @param result {@link HostProof#PROBE} if the host answered as alive, otherwise why nothing was
+   *     proven
    */
   public void probeEnded(long host, Moment askedAt, HostProof result, Moment now) {
     HostLease lease = lease(host);
@@ -189,13 +218,14 @@
     }
   }
 
-  // ---- restarts that nobody told of ----
+  // ---- restarts that a stale list does not show ----
 
   /**
-   * When the host's process may have started, where the list can't tell: the first proof after it
-   * could not be reached, or the present where there is none yet.
+   * Returns the latest time at which the host's process may have started, if it may have restarted
+   * while the list is stale: the time of the first proof after the host was unreachable, or the
+   * present if there is none yet.
    *
-   * @return {@link Moment#START} where nothing speaks of a restart
+   * @return {@link Moment#START} if nothing indicates a restart
    */
   public Moment presumedStart(long host, Moment now) {
     HostLease lease = listIsAuthoritative ? null : hosts.get(host);
@@ -205,7 +235,7 @@
     return lease.provenAgainAt() == null ? now : lease.provenAgainAt();
   }
 
-  /** Whether the process that lives at the host's address is the one that the list means. */
+  /** Whether the process at the host's address is known to be the one in the host list. */
   public boolean isIdentityKnown(long host, Moment now) {
     HostLease lease = listIsAuthoritative ? null : hosts.get(host);
     return lease == null || !isInDoubt(lease, now);
@@ -217,14 +247,14 @@
         && !list.wasConfirmedSince(lease.unreachableAt());
   }
 
-  // ---- figures ----
+  // ---- counters ----
 
-  /** New work was not sent, for that reason. */
+  /** Counts new work that was not sent, by reason. */
   public void refused(RefusalReason reason) {
     refusals.merge(reason, 1, Integer::sum);
   }
 
-  /** How often new work was not sent, by reason, since the last call. */
+  /** Returns how often new work was not sent since the last call, by reason. */
   public Map<RefusalReason, Integer> takeRefusals() {
     Map<RefusalReason, Integer> taken = new EnumMap<>(refusals);
     refusals.clear();
--- a/src/main/java/flintlead/scheduling/lease/HostProof.java
+++ b/src/main/java/flintlead/scheduling/lease/HostProof.java
@@ -2,24 +2,27 @@
 
 import java.util.Locale;
 
-/** What shows that a host took new work at some time, or leaves that in doubt. */
+/** Evidence that a host accepts new work, or that it may not. */
 public enum HostProof {
-  /** The host list is current and has the host ready. */
+  /** The host list is current and lists the host as ready. */
   LIST,
-  /** It answered a probe: it is alive and does not drain. */
+  /** The host answered a probe: it is alive and not draining. */
   PROBE,
-  /** It took on and served an attempt or a load order. */
+  /** The host accepted and served an attempt or a load order. */
   SERVED,
-  /** It answered a probe otherwise: it may drain, be sick, or get too many probes. */
+  /**
+   * The host answered a probe otherwise: it may be draining or unhealthy, or be sent too many
+   * probes.
+   */
   PROBE_DENIED,
-  /** It did not answer a probe in time. */
+  /** The host did not answer a probe in time. */
   PROBE_UNANSWERED,
-  /** It turned new work away: it may drain, or be full. */
+  /** The host rejected new work: it may be draining or full. */
   TURNED_AWAY,
-  /** No connection to it could be opened: another process may live there later. */
+  /** No connection to the host could be opened: another process may run at its address later. */
   UNREACHABLE;
 
-  /** The name in log lines. */
+  /** Returns the name used in log lines. */
   public String key() {
     return name().toLowerCase(Locale.ROOT);
   }
--- a/src/main/java/flintlead/scheduling/lease/LeaseListener.java
+++ b/src/main/java/flintlead/scheduling/lease/LeaseListener.java
@@ -2,7 +2,7 @@
 
 import flintlead.time.Span;
 
-/** Hears of changes that an operator should see. */
+/** Receives changes of the host list and of hosts that an operator should see. */
 public interface LeaseListener {
 
   /** A listener that does nothing. */
@@ -19,19 +19,23 @@
       };
 
   /**
-   * The host list no longer renews leases.
+   * The host list has become stale and no longer renews leases.
    *
-   * @param age since the list was last confirmed; since the gateway's start where it never was
+   * @param age time since the list was last confirmed; if it never was, since the gateway's start
    */
   void listStale(Span age);
 
   /**
-   * The host list renews all leases again.
+   * The host list is current and renews all leases again.
    *
-   * @param staleFor how long it did not
+   * @param staleFor how long the list was stale
    */
   void listCurrent(Span staleFor);
 
-  /** While the list is stale, a host was proven to take new work, or no longer is. */
+  /**
+   * The host has become usable or unusable for new work while the host list is stale.
+   *
+   * @param by the evidence for it
+   */
   void hostChanged(long host, boolean usable, HostProof by);
 }
--- a/src/main/java/flintlead/scheduling/lease/ListLease.java
+++ b/src/main/java/flintlead/scheduling/lease/ListLease.java
@@ -4,24 +4,27 @@
 import flintlead.time.Span;
 
 /**
- * Until when the host list renews the leases of all its hosts. A gateway can't know when discovery
- * went out of reach, only when the list was last known to hold everything.
+ * Determines how long the host list renews the leases of all its hosts. The time runs from when the
+ * list was last known to be complete, because a gateway cannot know when discovery became
+ * unreachable.
  */
 final class ListLease {
 
   private final LeaseTerms terms;
 
-  /** When the list last held everything; null where nobody has confirmed it. */
+  /** When the list was last known to be complete; null if it was never confirmed. */
   private Moment confirmedAt;
 
-  /** When the connection to discovery broke since then; null where it did not. */
+  /** When the connection to discovery broke after that; null if it did not. */
   private Moment brokenAt;
 
   ListLease(LeaseTerms terms) {
     this.terms = terms;
   }
 
-  /** The list held everything at that time; older word than the last changes nothing. */
+  /**
+   * Records that the list was complete at that time; a time before the latest one changes nothing.
+   */
   void confirmed(Moment asOf) {
     if (confirmedAt == null || asOf.isAfter(confirmedAt)) {
       confirmedAt = asOf;
@@ -31,7 +34,7 @@
     }
   }
 
-  /** The connection to discovery broke, at that time at the earliest. */
+  /** Records that the connection to discovery broke, at that time at the earliest. */
   void broken(Moment at) {
     if (brokenAt == null) {
       brokenAt = at;
@@ -49,12 +52,15 @@
     return now.isBefore(end);
   }
 
-  /** Whether the list held everything at that time or later. */
+  /** Whether the list was known to be complete at some time after the given one. */
   boolean wasConfirmedSince(Moment time) {
     return confirmedAt != null && confirmedAt.isAfter(time);
   }
 
-  /** How long ago the list was confirmed; the time since {@code origin} where it never was. */
+  /**
+   * Returns how long ago the list was last confirmed; the time since {@code origin} if it never
+   * was.
+   */
   Span age(Moment now, Moment origin) {
     return now.since(confirmedAt == null ? origin : confirmedAt);
   }
--- a/src/main/java/flintlead/scheduling/lease/RefusalReason.java
+++ b/src/main/java/flintlead/scheduling/lease/RefusalReason.java
@@ -2,20 +2,23 @@
 
 import java.util.Locale;
 
-/** Why a host whose lease has ended got no new work. */
+/** Why a host whose lease has ended was sent no new work. */
 public enum RefusalReason {
-  /** A probe was answered otherwise than alive. */
+  /**
+   * The host answered a probe otherwise than as alive, or the backoff after a failed probe has not
+   * passed.
+   */
   PROBE_DENIED,
-  /** A probe had no answer in time. */
+  /** The host did not answer a probe in time. */
   PROBE_UNANSWERED,
   /** The host could not be reached for a probe. */
   UNREACHABLE,
-  /** This gateway has used its part of the probes that a host bears. */
+  /** This gateway has used up its share of the probes that a host may be sent. */
   PROBE_LIMIT,
   /** The deployment allows no probes. */
   PROBES_FORBIDDEN;
 
-  /** The name in log lines. */
+  /** Returns the name used in log lines. */
   public String key() {
     return "unproven_" + name().toLowerCase(Locale.ROOT);
   }
