--- a/src/test/java/flintlead/ids/NameHashTest.java
+++ b/src/test/java/flintlead/ids/NameHashTest.java
@@ -7,11 +7,12 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Numbers that the walk of every gateway rests on. */
+/** The numbers on which the hash walk of every gateway depends. */
 class NameHashTest {
 
   /**
-   * Written down once: a change would move every function's home in a fleet that is half updated.
+   * Fixed values: a change of the hash would move every function's home in a fleet that is only
+   * partly upgraded.
    */
   @Test
   void numbersNeverChange() {
--- a/src/test/java/flintlead/scheduling/BoundedStateTest.java
+++ b/src/test/java/flintlead/scheduling/BoundedStateTest.java
@@ -6,12 +6,12 @@
 import flintlead.scheduling.api.Outcome;
 import org.junit.jupiter.api.Test;
 
-/** What a gateway that runs for months keeps is bounded: functions, hosts that left, timers. */
+/** The state of a gateway that runs for months is bounded: functions, departed hosts, timers. */
 class BoundedStateTest {
 
   /**
-   * Functions wanted once, hosts replaced for ever: the heap after the second half is that after
-   * the first.
+   * Functions that are invoked once, and hosts that are replaced continuously: heap use after the
+   * second half of the run is that after the first.
    */
   @Test
   void memoryDoesNotGrowWithNamesAndHosts() {
--- a/src/test/java/flintlead/scheduling/ObservationExchangeTest.java
+++ b/src/test/java/flintlead/scheduling/ObservationExchangeTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What another gateway saw is believed as far as this one has seen nothing, and no further. */
+/** A peer's observation is used only where this gateway has observed nothing itself. */
 class ObservationExchangeTest {
 
   private static final Span LATELY = Span.ofMillis(500);
@@ -19,7 +19,7 @@
 
   private final ScriptedFleet fleet = new ScriptedFleet(ScriptedFleet.facts(true, false, 2), 5);
 
-  /** Where a first invocation of the function goes by the walk alone. */
+  /** The host of a first invocation of the function, by the hash walk alone. */
   private static long home() {
     return new ScriptedFleet(ScriptedFleet.facts(true, false, 2), 5)
         .take(ScriptedFleet.IDEMPOTENT, FN, 3_000)
@@ -37,8 +37,8 @@
   }
 
   /**
-   * A younger sight goes before an older one that was told first; neither before what was seen
-   * here.
+   * A more recent peer observation takes precedence over an older one whatever the order in which
+   * they arrive; neither takes precedence over an own observation.
    */
   @Test
   void ofTwoThatWereToldTheYoungerCounts() {
@@ -46,7 +46,7 @@
     fleet.scheduler.mergeObservation(away(), FN, 1, LATELY);
     fleet.scheduler.mergeObservation(away(), FN, 1, Span.ofMillis(7_800));
     fleet.pass(1_000);
-    assertEquals(away(), goesTo(), "the older two have lapsed by now");
+    assertEquals(away(), goesTo(), "the older two observations have expired");
   }
 
   @Test
@@ -61,11 +61,12 @@
     assertEquals(home(), goesTo());
   }
 
-  /** A copy that was seen before a restart went with the process. */
+  /** An instance that was observed before its host restarted is no longer loaded. */
   @Test
   void aSightFromBeforeTheHostsStartIsNot() {
     long away = away();
-    // Answers first, so that a cold host's budget is large enough not to decide this.
+    // Successful answers raise the slow-start budget, so that it does not prevent the attempt
+    // below.
     for (int i = 0; i < 2_000; i++) {
       fleet.take(ScriptedFleet.IDEMPOTENT, 1_000 + i % 7, 3_000);
       fleet.end(fleet.out.get(0), Outcome.OK, 1);
@@ -80,7 +81,8 @@
       fleet.end(fleet.out.get(0), Outcome.OK, 1);
       fleet.pass(100);
     }
-    assertTrue(followed, "what was seen since the start is believed, and the budget lets it");
+    assertTrue(
+        followed, "an observation since the start is used, and the slow-start budget allows it");
     assertEquals(home(), goesTo());
   }
 
@@ -96,7 +98,8 @@
     fleet.list(fleet.entry(away, HostEntry.State.DRAINING, 0));
     fleet.scheduler.mergeObservation(away, FN, 1, LATELY);
     assertNotEquals(away, goesTo());
-    // Nor once it is ready again: what was told while it drained was not taken down.
+    // An observation that arrived while the host was draining is not used either once it is ready
+    // again.
     ScriptedFleet.Out out = fleet.out.get(0);
     fleet.end(out, Outcome.MISS);
     fleet.list(fleet.entry(away, HostEntry.State.READY, 0));
@@ -112,7 +115,7 @@
     fleet.scheduler.mergeObservation(home, FN, 7, Span.ZERO);
     List<Integer> copies = new ArrayList<>();
     fleet.scheduler.exportObservations((host, fn, many, age) -> copies.add(many));
-    assertEquals(List.of(1), copies, "one copy was seen here, whatever others say");
+    assertEquals(List.of(1), copies, "the own observation of one instance remains");
   }
 
   @Test
--- a/src/test/java/flintlead/scheduling/SchedulerPathTest.java
+++ b/src/test/java/flintlead/scheduling/SchedulerPathTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-/** The paths of the design, and one plain case for each failure found. */
+/** The main paths of the scheduler, and one simple case for each failure found. */
 class SchedulerPathTest {
 
   private final ScriptedFleet fleet = new ScriptedFleet(ScriptedFleet.facts(true, true, 1), 5);
@@ -118,8 +118,8 @@
   }
 
   /**
-   * The cold budget once followed dispatches, which multiply while everything fails and is sent
-   * again.
+   * Regression: the slow-start budget followed the rate of attempts, which multiply while
+   * everything fails and is retried.
    */
   @Example
   void failuresDoNotWidenTheColdBudget() {
@@ -142,8 +142,8 @@
   }
 
   /**
-   * Two hundred gateways once sent a cold host one dispatch each at the same time, and it fell
-   * over.
+   * Regression: 200 gateways each sent a starting host one attempt at the same time, which
+   * overloaded it.
    */
   @Example
   void partsUnderOneDispatchAddUpOverManyGateways() {
@@ -164,12 +164,12 @@
               .filter(out -> out.outcome == null && out.host == 102)
               .count();
     }
-    assertTrue(sent < 40, "sent at once: " + sent);
+    assertTrue(sent < 40, "attempts sent at the same time: " + sent);
   }
 
   /**
-   * While much failed the budget once shrank with the answers, and cold hosts stayed idle in a
-   * deploy.
+   * Regression: while many invocations failed, the slow-start budget shrank with the rate of
+   * answers, and starting hosts stayed idle during a deployment.
    */
   @Example
   void aLullDoesNotNarrowTheColdBudget() {
@@ -188,7 +188,10 @@
             > 1);
   }
 
-  /** Each of many gateways once sent a hot function to its home, where all of them made a crowd. */
+  /**
+   * Regression: each of many gateways sent a frequently invoked function to its home, which all of
+   * them together overloaded.
+   */
   @Example
   void aToldCrowdSpreadsAFunctionWithFewOwnInFlight() {
     ScriptedFleet told = new ScriptedFleet(ScriptedFleet.facts(true, true, 200), 5);
@@ -202,8 +205,8 @@
   }
 
   /**
-   * A gateway learns little alone: what it learns of a crowd is told, and strange words are passed
-   * over.
+   * One gateway alone sees little of a function's concurrency, so gateways gossip what they learn
+   * of it. An unknown message is ignored.
    */
   @Example
   void aSpreadIsToldAndHeard() {
@@ -222,7 +225,7 @@
         second.invs.values().stream().map(inv -> inv.outs.get(0).host).distinct().count() >= 3);
   }
 
-  /** A restarted host is empty, whatever it held: the walk decides again. */
+  /** A restarted host has no function loaded, so the hash walk decides again. */
   @Example
   void aRestartVoidsTheMarks() {
     ScriptedFleet.Taken first = fleet.take(0, 42, 2000);
@@ -234,7 +237,8 @@
   }
 
   /**
-   * Rule 5: the ration counts every order in its window; past it the invocation walks on instead.
+   * Rule 5: the rate limit counts every load order in its window; beyond it, the invocation goes to
+   * the next host of the walk instead.
    */
   @Example
   void noOrderPastTheRation() {
@@ -248,8 +252,8 @@
   }
 
   /**
-   * A load sent to a lost host once stayed under way until the client timeout and held up all
-   * others.
+   * Regression: a load sent to a lost host counted as in flight until the client's timeout and
+   * blocked all other loads.
    */
   @Example
   void loadsOnASilentHostDoNotHoldUpOthers() {
@@ -275,8 +279,7 @@
   }
 
   /**
-   * A host that answers nothing is set aside, and what it holds is sent elsewhere where rule 2
-   * allows it.
+   * A silent host is ejected, and its invocations are also sent elsewhere where rule 2 allows it.
    */
   @Example
   void aSilentHostLosesItsInvocations() {
@@ -288,8 +291,8 @@
   }
 
   /**
-   * Seldom heard, a slow host once passed for silent, and what it worked on was called back and
-   * errored.
+   * Regression: without hedging, a slow host that the gateway rarely got answers from was taken for
+   * silent, and its invocations were cancelled and failed.
    */
   @Example
   void oneSlowAnswerIsNotSilenceWhereItWouldBeCalledBack() {
@@ -303,8 +306,9 @@
   }
 
   /**
-   * Where an invocation works for a second and more, a fixed span of 900 ms called every host
-   * silent: half of all dispatches were called back, and their invocations errored or done anew.
+   * Regression: with a fixed limit of 900 ms every host counted as silent where invocations run for
+   * a second and more. Half of all attempts were cancelled, and their invocations failed or were
+   * run again.
    */
   @Example
   void whatWorksForLongIsNotSilence() {
@@ -314,14 +318,14 @@
     }
     slow.pass(5000);
     assertEquals(9, slow.out.size());
-    assertTrue(slow.out.stream().allMatch(out -> out.outcome == null), "called back");
+    assertTrue(slow.out.stream().allMatch(out -> out.outcome == null), "an attempt was cancelled");
     slow.pass(25_000);
     assertTrue(slow.invs.values().stream().allMatch(taken -> taken.answer != null));
   }
 
   /**
-   * Held invocations that can no longer be in time are throttled at once, not near their client
-   * timeout.
+   * Queued invocations that can no longer be answered in time are throttled at once, not just
+   * before their client's timeout.
    */
   @Example
   void aHopelessInvocationIsAnsweredAtOnce() {
@@ -332,8 +336,8 @@
   }
 
   /**
-   * One that came with little time left was once held as long as any other, past all use to its
-   * client.
+   * Regression: an invocation with little time left was queued as long as any other, until its
+   * answer was of no use to its client.
    */
   @Example
   void littleTimeLeftIsHeldForLess() {
--- a/src/test/java/flintlead/scheduling/SchedulerRulesTest.java
+++ b/src/test/java/flintlead/scheduling/SchedulerRulesTest.java
@@ -9,7 +9,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** Random days on a small scripted fleet; the fleet checks the five rules at every step. */
+/** Random event sequences on a small scripted fleet, which checks the five rules at every step. */
 class SchedulerRulesTest {
 
   private static final Outcome[] OUTCOMES = Outcome.values();
@@ -33,8 +33,8 @@
   }
 
   /**
-   * Hosts of three pools, some in two, that change hands: the fleet looks that nothing leaves its
-   * pool.
+   * Hosts of three pools, some in two of them, that move between pools: the fleet checks that no
+   * attempt leaves the pool of its invocation.
    */
   @Property(tries = 100, seed = "4714")
   void keepsToPools(
--- a/src/test/java/flintlead/scheduling/ScriptedFleet.java
+++ b/src/test/java/flintlead/scheduling/ScriptedFleet.java
@@ -25,8 +25,8 @@
 import java.util.TreeMap;
 
 /**
- * A scripted fleet behind one Scheduler: it plays what it is told to and checks the five rules at
- * every action.
+ * A scripted fleet of hosts behind one scheduler: it plays the events of a test and checks the five
+ * rules at every action of the scheduler.
  */
 final class ScriptedFleet implements SchedulerContext {
 
@@ -36,7 +36,7 @@
   static final int NON_IDEMPOTENT = 3;
   static final float[] NO_REPORT = {};
 
-  /** One dispatch as the fleet saw it. */
+  /** One attempt as the fleet received it. */
   static final class Out {
     final long inv;
     final int number;
@@ -52,7 +52,7 @@
     }
   }
 
-  /** One taken invocation as its client saw it. */
+  /** One submitted invocation as its client sees it. */
   static final class Taken {
     int pool;
     int type;
@@ -79,7 +79,7 @@
   final List<byte[]> told = new ArrayList<>();
   final Map<Long, HostEntry> listed = new TreeMap<>();
 
-  /** The pools that hosts belong to, a bit each; empty for a fleet without pools. */
+  /** The pools of each host, one bit per pool; empty for a fleet without pools. */
   final Map<Long, Long> pools = new TreeMap<>();
 
   private final Map<Long, Moment> closedAt = new HashMap<>();
@@ -166,7 +166,7 @@
             host, entry.zone(), entry.cell(), 0, state, entry.startedAt(), 1, pools.get(host));
   }
 
-  // ---- what the script does ----
+  // ---- events of the script ----
 
   Taken take(int type, long fn, double millisLeft) {
     Taken taken = new Taken();
@@ -214,7 +214,7 @@
 
   void hangUp(Taken taken) {
     if (taken.answer == null) {
-      taken.answer = "left";
+      taken.answer = "disconnected";
     }
     taken.handle.clientDisconnected();
   }
@@ -238,7 +238,7 @@
         order[0], order[1], outcome, Span.ofMillis(600), outcome == Outcome.OK ? 1 : 0);
   }
 
-  /** Forgets what it has heard and sent, so that only the decisions' own memory is left to grow. */
+  /** Drops the recorded events, so that only the scheduler's own state can grow. */
   void forgetPast(long... hosts) {
     forgetAnswered();
     takenAt.clear();
@@ -257,7 +257,7 @@
             taken -> taken.answer != null && taken.outs.stream().allMatch(o -> o.outcome != null));
   }
 
-  /** Lets time pass, fires timers, ends dispatches at their client timeout. */
+  /** Advances the clock, runs due timers, and times out attempts at their client's timeout. */
   void pass(double millis) {
     Moment until = now.plus(Span.ofMillis(millis));
     while (now.isBefore(until)) {
@@ -273,12 +273,12 @@
       for (Taken taken : invs.values()) {
         assertFalse(
             taken.answer == null && now.isAfter(taken.deadline.plus(facts.answerSlack())),
-            "rule 1: no answer in the client's time");
+            "rule 1: no answer within the client's timeout");
       }
     }
   }
 
-  // ---- what the decisions ask for, checked ----
+  // ---- actions of the scheduler, checked ----
 
   @Override
   public Moment now() {
@@ -288,22 +288,26 @@
   @Override
   public void dispatch(long invocation, long host, Moment abandonAt) {
     Taken taken = invs.get(invocation);
-    assertTrue(listed.get(host).serves(taken.pool), "a dispatch outside its pool");
-    assertTrue(taken.answer == null, "rule 1: a dispatch after the final answer");
+    assertTrue(listed.get(host).serves(taken.pool), "an attempt outside its pool");
+    assertTrue(taken.answer == null, "rule 1: an attempt after the final answer");
     assertNotNull(listed.get(host));
-    assertFalse(closedAt.containsKey(host), "rule 3: a dispatch to a closed host");
-    assertTrue(taken.outs.size() < facts.attemptLimit(), "more dispatches than the cap");
+    assertFalse(closedAt.containsKey(host), "rule 3: an attempt at a host that is not ready");
+    assertTrue(taken.outs.size() < facts.attemptLimit(), "more attempts than the limit");
     TriggerType type = facts.triggerTypes().get(taken.type);
     Out first = taken.firstThatMayHaveRun();
     if (first != null) {
-      assertFalse(type.effect() == Effect.NON_IDEMPOTENT, "rule 2: a non-idempotent repeat");
+      assertFalse(
+          type.effect() == Effect.NON_IDEMPOTENT, "rule 2: a non-idempotent invocation repeated");
       boolean anyOut = taken.outs.stream().anyMatch(each -> each.outcome == null);
-      assertTrue(facts.supportsHedging() || !anyOut, "rule 2: two at once");
+      assertTrue(
+          facts.supportsHedging() || !anyOut, "rule 2: two attempts in flight without hedging");
       if (type.effect() == Effect.TOKENED) {
-        assertTrue(now.since(first.at).isShorterThan(type.window()), "rule 2: outside the window");
+        assertTrue(
+            now.since(first.at).isShorterThan(type.window()),
+            "rule 2: repeated after the idempotency window");
         assertTrue(
             type.group() == Group.ALL || listed.get(first.host).cell() == listed.get(host).cell(),
-            "rule 2: outside the group");
+            "rule 2: repeated outside the group");
       }
     }
     List<Moment> sent = sentTo.computeIfAbsent(host, any -> new ArrayList<>());
@@ -325,7 +329,7 @@
               / running
               * facts.overloadWindow().micros()
               / 1e6;
-      assertTrue(sentCold <= 1 + budget, "rule 4: a cold host pushed");
+      assertTrue(sentCold <= 1 + budget, "rule 4: more attempts than the slow-start budget");
     }
     Out dispatch = new Out(invocation, taken.outs.size(), host, now);
     taken.outs.add(dispatch);
@@ -375,13 +379,13 @@
 
   @Override
   public void load(long host, long function, int copies) {
-    assertFalse(closedAt.containsKey(host), "rule 3: an order to a closed host");
+    assertFalse(closedAt.containsKey(host), "rule 3: a load order to a host that is not ready");
     orderedAt.add(now);
     assertTrue(
         recent(orderedAt, facts.loadOrderWindow())
             <= facts.loadOrderBurst()
                 + facts.loadOrderShare() * recent(takenAt, facts.loadOrderWindow()),
-        "rule 5: over the ration");
+        "rule 5: more load orders than the rate limit");
     orders.add(new long[] {host, function});
   }
 
--- a/src/test/java/flintlead/scheduling/SlowStartTest.java
+++ b/src/test/java/flintlead/scheduling/SlowStartTest.java
@@ -15,28 +15,29 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Rule 4 over a whole fleet: a host that has started cold must not be pushed over by the sum of
- * gateways that each see little, some of them several times the mean, some new themselves.
+ * Rule 4 over a whole fleet: a host that has just started must not be overloaded by the sum of many
+ * gateways, each of which sees little of the traffic. Some gateways see several times the mean, and
+ * some have just started themselves.
  */
 class SlowStartTest {
 
   private static final int HOSTS = 6;
 
   /**
-   * So many that hardly one is asked for twice: nothing keeps them at the hosts that are warm, and
-   * all walks lead past the cold one.
+   * So many that hardly any function is invoked twice: no function is bound to a warm host, and all
+   * hash walks pass the starting one.
    */
   private static final int FUNCTIONS = 1_000_000;
 
   private static final double RATE = 500;
 
-  /** Of what all hosts can do, that much is asked. */
+  /** The invocation rate as a share of the capacity of all hosts. */
   private static final double LOAD = 0.6;
 
   private static final double STEP_MS = 50;
   private static final double ANSWER_MS = 100;
 
-  @ParameterizedTest(name = "{0} gateways, a host of {1} among hosts of {2}")
+  @ParameterizedTest(name = "{0} gateways, a starting host of weight {1} among hosts of weight {2}")
   @CsvSource({"20,1,1", "30,1,1", "100,1,1", "20,1,6", "30,1,6", "100,1,6", "30,6,1"})
   void aColdHostHoldsUnderTheSumOfAllGateways(int gateways, double cold, double others) {
     Deployment facts = ScriptedFleet.facts(true, true, gateways);
@@ -58,8 +59,8 @@
     for (double at = 0; at < startedAt + warm; at += STEP_MS) {
       if (at == startedAt) {
         for (int i = 0; i < gateways; i++) {
-          // One of seven begins with its client's first invocation, and is told with the list it
-          // starts from.
+          // Every seventh gateway starts with its client's first invocation, and learns of the
+          // host from its initial host list.
           if (i % 7 == 0) {
             fleets.set(i, fleet(facts, cold, others, fleets.get(i).now()));
           }
@@ -99,9 +100,9 @@
       assertTrue(
           at < startedAt || sent.size() <= most,
           sent.size()
-              + " sent within the window, "
+              + " attempts within the window, at most "
               + most
-              + " at most, "
+              + " allowed, "
               + (at - startedAt)
               + " ms after the start");
     }
--- a/src/test/java/flintlead/scheduling/SpillBudgetTest.java
+++ b/src/test/java/flintlead/scheduling/SpillBudgetTest.java
@@ -12,7 +12,9 @@
 import java.util.Set;
 import net.jqwik.api.Example;
 
-/** Loads of functions that are loaded elsewhere: at most a share of the answers. */
+/**
+ * Loads of functions that are already loaded on another host are limited to a share of the answers.
+ */
 class SpillBudgetTest {
 
   private static final int HOSTS = 8;
@@ -20,7 +22,7 @@
   private static final int CROWD = 8;
   private static final int ROUNDS = 20;
 
-  /** So slow that the hosts' limits fall. */
+  /** Slow enough that the concurrency limits of the hosts decrease. */
   private static final int SLOW_ANSWER_MILLIS = 450;
 
   private static final long NEW_FUNCTION = 1_000;
@@ -31,7 +33,10 @@
   private final Map<Long, Set<Long>> hostsByFunction = new HashMap<>();
   private int answers;
 
-  /** Answers everything, also what answers release, and notes where each function has gone. */
+  /**
+   * Answers all attempts, including those that the answers release, and records the hosts of each
+   * function.
+   */
   private void answerAll(Map<ScriptedFleet.Taken, Long> functions) {
     while (!fleet.out.isEmpty()) {
       ScriptedFleet.Out out = fleet.out.get(0);
@@ -51,7 +56,7 @@
     }
   }
 
-  /** Many invocations of each function at once, then all their answers. */
+  /** Sends concurrent invocations of each function, then answers them all. */
   private void crowd(long firstFunction, Map<ScriptedFleet.Taken, Long> functions) {
     for (long function = firstFunction; function < firstFunction + FUNCTIONS; function++) {
       for (int i = 0; i < CROWD; i++) {
@@ -66,7 +71,10 @@
     return hostsByFunction.values().stream().mapToInt(hosts -> hosts.size() - 1).sum();
   }
 
-  /** Regression: loads for capacity took so much of it that the next ones followed (soak day). */
+  /**
+   * Regression from a soak run: loads made to gain capacity used up so much capacity that they
+   * caused further loads.
+   */
   @Example
   void loadsForCapacityAreAShareOfTheAnswers() {
     Map<ScriptedFleet.Taken, Long> functions = new HashMap<>();
@@ -75,11 +83,12 @@
       crowd(round * FUNCTIONS, functions);
       fleet.pass(500);
     }
-    assertTrue(spills() > 0, "capacity elsewhere was never used");
-    assertTrue(spills() <= SAVED + SHARE * answers, spills() + " of " + answers + " answers");
+    assertTrue(spills() > 0, "no function was loaded on a second host");
+    assertTrue(
+        spills() <= SAVED + SHARE * answers, spills() + " spills for " + answers + " answers");
   }
 
-  /** A function that is loaded nowhere is loaded, whatever others have spent. */
+  /** A function that is loaded nowhere may be loaded even if others have used up the budget. */
   @Example
   void aFirstLoadNeedsNoBudget() {
     Map<ScriptedFleet.Taken, Long> functions = new HashMap<>();
--- a/src/test/java/flintlead/scheduling/lease/HostLeasesTest.java
+++ b/src/test/java/flintlead/scheduling/lease/HostLeasesTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** When the right to send new work to a host ends, and what renews it. */
+/** When the permission to send new work to a host ends, and what renews it. */
 class HostLeasesTest {
 
   private static final long HOST = 7;
@@ -75,7 +75,10 @@
     assertEquals(SendPermission.GRANTED, permission(3_299));
     assertEquals(SendPermission.AFTER_PROBE, permission(3_300));
     leases.listConfirmed(at(400));
-    assertEquals(SendPermission.AFTER_PROBE, permission(3_300), "older than the break");
+    assertEquals(
+        SendPermission.AFTER_PROBE,
+        permission(3_300),
+        "a confirmation from before the break does not count");
     leases.listConfirmed(at(3_300));
     assertEquals(SendPermission.GRANTED, permission(3_301));
   }
@@ -94,7 +97,8 @@
     leases.proven(HOST, at(790), HostProof.SERVED, at(1_500));
     assertEquals(SendPermission.GRANTED, permission(1_589));
     leases.proven(HOST, at(100), HostProof.SERVED, at(1_550));
-    assertEquals(SendPermission.GRANTED, permission(1_589), "an older proof shortens nothing");
+    assertEquals(
+        SendPermission.GRANTED, permission(1_589), "an older proof does not shorten the lease");
     assertEquals(SendPermission.AFTER_PROBE, permission(1_590));
   }
 
@@ -143,8 +147,9 @@
         sent++;
       }
     }
-    assertTrue(sent <= 2 + 60 * 0.12 + 1, () -> "probes of one of a hundred gateways in a minute");
-    assertTrue(sent >= 8, "and not none");
+    assertTrue(
+        sent <= 2 + 60 * 0.12 + 1, () -> "too many probes by one of 100 gateways in a minute");
+    assertTrue(sent >= 8, "too few probes by one of 100 gateways in a minute");
   }
 
   @Test
@@ -154,8 +159,11 @@
     leases.unreachable(HOST, at(5_000));
     assertEquals(SendPermission.AFTER_PROBE, permission(5_000));
     leases.proven(HOST, at(4_990), HostProof.SERVED, at(5_010));
-    assertEquals(SendPermission.AFTER_PROBE, permission(5_011), "asked before");
-    assertEquals(at(5_500), leases.presumedStart(HOST, at(5_500)), "as young as it may be");
+    assertEquals(
+        SendPermission.AFTER_PROBE,
+        permission(5_011),
+        "a proof requested before the host was unreachable is void");
+    assertEquals(at(5_500), leases.presumedStart(HOST, at(5_500)), "latest possible start");
     probe(6_000, HostProof.PROBE, 6_001);
     assertEquals(at(6_000), leases.presumedStart(HOST, at(9_000)));
     assertFalse(leases.isIdentityKnown(HOST, at(9_000)));
@@ -189,8 +197,8 @@
   }
 
   /**
-   * Whatever is asked and answered: no permission later than the grace after the drain counts as
-   * told.
+   * Random sequences of events: no permission is granted later than the drain grace period after
+   * the gateway counts as notified of the drain.
    */
   @Property(tries = 500)
   void noPermissionOutlivesTheGraceOfADrain(@ForAll long seed) {
@@ -209,7 +217,7 @@
       SendPermission permission = permission(now);
       assertTrue(
           permission != SendPermission.GRANTED || now < told + GRACE_MILLIS,
-          "granted at " + now + ", told at " + told);
+          "granted at " + now + " ms, notified at " + told + " ms");
       double asked = now - random.nextInt(700);
       boolean ready = asked < drain;
       if (permission == SendPermission.AFTER_PROBE && random.nextBoolean()) {
