--- a/src/main/java/flintlead/scheduling/CapacityLimits.java
+++ b/src/main/java/flintlead/scheduling/CapacityLimits.java
@@ -37,10 +37,10 @@
    */
   private static final double TARGET_RELATIVE_LATENCY = 0.35;
 
-  private static final double TARGET_RELATIVE_LATENCY_OF_MANY = 0.27;
-  private static final int MANY_GATEWAYS = 8;
+  private static final double TARGET_RELATIVE_LATENCY_MANY_GATEWAYS = 0.27;
+  private static final int MANY_GATEWAYS_THRESHOLD = 8;
   private static final double RELATIVE_LATENCY_WEIGHT = 0.1;
-  private static final double LIMIT_DECREASE = 0.9;
+  private static final double LIMIT_DECREASE_FACTOR = 0.9;
   private static final double CONCURRENCY_INCREASE = 0.5;
   private static final double LOAD_LIMIT_INCREASE = 1;
 
@@ -48,7 +48,7 @@
    * Minimum time between decreases, in latency objectives: answers to earlier attempts must arrive
    * first.
    */
-  private static final double DECREASE_INTERVAL_OBJECTIVES = 0.25;
+  private static final double MIN_DECREASE_INTERVAL_OBJECTIVES = 0.25;
 
   /** Initial value and minimum of the limit on this gateway's loads in flight. */
   private static final double INITIAL_LOAD_LIMIT = 16;
@@ -84,7 +84,9 @@
     this.deployment = state.deployment;
     this.minConcurrency = Math.max(1, MIN_CONCURRENCY_OF_ALL_GATEWAYS / state.gateways);
     this.targetRelativeLatency =
-        state.gateways < MANY_GATEWAYS ? TARGET_RELATIVE_LATENCY : TARGET_RELATIVE_LATENCY_OF_MANY;
+        state.gateways < MANY_GATEWAYS_THRESHOLD
+            ? TARGET_RELATIVE_LATENCY
+            : TARGET_RELATIVE_LATENCY_MANY_GATEWAYS;
     this.answers = new PeakRate(state.now(), MIN_RATE_WINDOW, MAX_RATE_WINDOW);
   }
 
@@ -120,8 +122,8 @@
   }
 
   private void decrease(AimdLimit limit, double inUse, Span objective) {
-    Span interval = objective.times(DECREASE_INTERVAL_OBJECTIVES);
-    limit.decrease(state.now(), interval, inUse, LIMIT_DECREASE);
+    Span interval = objective.times(MIN_DECREASE_INTERVAL_OBJECTIVES);
+    limit.decrease(state.now(), interval, inUse, LIMIT_DECREASE_FACTOR);
   }
 
   /**
@@ -195,11 +197,11 @@
       return true;
     }
     Moment now = state.now();
-    double age = now.since(startedAt(host)).over(deployment.slowStartDuration());
+    double elapsedFraction = now.since(startedAt(host)).over(deployment.slowStartDuration());
     double initial = deployment.slowStartFraction();
-    double fraction = initial + (1 - initial) * Math.max(0, age);
-    double each = answers.perSecond() / Math.max(1, state.hosts.listed().length);
-    double perSecond = SLOW_START_SHARE * deployment.overloadFactor() * fraction * each;
+    double fraction = initial + (1 - initial) * Math.max(0, elapsedFraction);
+    double perHost = answers.perSecond() / Math.max(1, state.hosts.listed().length);
+    double perSecond = SLOW_START_SHARE * deployment.overloadFactor() * fraction * perHost;
     double burst = perSecond * deployment.overloadWindow().micros() / (2 * MICROS_PER_SECOND);
     return host.slowStartTokens.refill(now, perSecond, Math.max(1, burst));
   }
@@ -215,7 +217,8 @@
    * the list was stale, the latest time at which it may have.
    */
   private Moment startedAt(Host host) {
-    return Moment.later(host.entry.startedAt(), state.leases.presumedStart(host.id(), state.now()));
+    return Moment.later(
+        host.entry.startedAt(), state.leases.latestPossibleStart(host.id(), state.now()));
   }
 
   void recordArrival(Moment now) {
@@ -229,11 +232,11 @@
 
   /** Rule 5: whether one more load order stays within the rate limit. */
   boolean mayOrderLoad() {
-    Moment from = state.now().minus(deployment.loadOrderWindow());
-    double share = deployment.loadOrderShare() * arrivals.countSince(from);
+    Moment windowStart = state.now().minus(deployment.loadOrderWindow());
+    double share = deployment.loadOrderShare() * arrivals.countSince(windowStart);
     double allowed = deployment.loadOrderBurst() + share;
     boolean unlimited = deployment.loadOrderWindow().micros() <= 0;
     return deployment.supportsLoadOrders()
-        && (unlimited || loadOrders.countSince(from) + 1 <= allowed);
+        && (unlimited || loadOrders.countSince(windowStart) + 1 <= allowed);
   }
 }
--- a/src/main/java/flintlead/scheduling/lease/HostLease.java
+++ b/src/main/java/flintlead/scheduling/lease/HostLease.java
@@ -8,9 +8,9 @@
 final class HostLease {
 
   /** Backoff after a denied or unanswered probe, doubled with each consecutive one. */
-  private static final Span FIRST_PROBE_PAUSE = Span.ofMillis(400);
+  private static final Span INITIAL_PROBE_BACKOFF = Span.ofMillis(400);
 
-  private static final int MAX_PAUSE_DOUBLINGS = 3;
+  private static final int MAX_BACKOFF_DOUBLINGS = 3;
 
   /** Most probes to a host that may accumulate in its token bucket. */
   private static final double PROBE_BURST = 2;
@@ -28,14 +28,14 @@
   private Moment unreachableAt;
 
   /** When the request of the first proof after that was sent; null if there is none. */
-  private Moment provenAgainAt;
+  private Moment reachableAgainAt;
 
-  private Moment pausedUntil = Moment.START;
+  private Moment backoffUntil = Moment.START;
   private int failedProbes;
   private boolean probing;
 
   /** Whether the host was last recorded as usable; null if nothing was recorded. */
-  private Boolean reportedUsable;
+  private Boolean lastUsable;
 
   HostLease(LeaseTerms terms) {
     this.terms = terms;
@@ -45,16 +45,16 @@
    * Renews the lease from the time at which the request of a proof was sent; returns false if the
    * proof is void.
    */
-  boolean prove(Moment askedAt) {
+  boolean renew(Moment askedAt) {
     if (unreachableAt != null && !askedAt.isAfter(unreachableAt)) {
       return false;
     }
     provenAt = provenAt == null ? askedAt : Moment.later(provenAt, askedAt);
-    if (unreachableAt != null && provenAgainAt == null) {
-      provenAgainAt = askedAt;
+    if (unreachableAt != null && reachableAgainAt == null) {
+      reachableAgainAt = askedAt;
     }
     failedProbes = 0;
-    pausedUntil = Moment.START;
+    backoffUntil = Moment.START;
     return true;
   }
 
@@ -67,14 +67,14 @@
    * Ends the lease and voids the proofs requested by then, as another process may run at the host's
    * address later.
    */
-  void unreachable(Moment at) {
+  void markUnreachable(Moment at) {
     end();
     unreachableAt = at;
-    provenAgainAt = null;
+    reachableAgainAt = null;
   }
 
   boolean holds(Moment now) {
-    return provenAt != null && now.isBefore(provenAt.plus(terms.duration()));
+    return provenAt != null && now.isBefore(provenAt.plus(terms.leaseDuration()));
   }
 
   /** Returns when the host was last found unreachable; null if it never was. */
@@ -83,8 +83,8 @@
   }
 
   /** Returns when the request of the first proof after that was sent; null if there is none. */
-  Moment provenAgainAt() {
-    return provenAgainAt;
+  Moment reachableAgainAt() {
+    return reachableAgainAt;
   }
 
   // ---- probes ----
@@ -93,11 +93,11 @@
     return probing;
   }
 
-  boolean isPaused(Moment now) {
-    return now.isBefore(pausedUntil);
+  boolean isBackingOff(Moment now) {
+    return now.isBefore(backoffUntil);
   }
 
-  boolean hasProbeLeft(Moment now) {
+  boolean hasProbeToken(Moment now) {
     return probes.refill(now, terms.probesPerSecond(), PROBE_BURST);
   }
 
@@ -113,24 +113,24 @@
   /** Ends the lease and begins a backoff, after a probe that proved nothing. */
   void probeFailed(Moment now) {
     end();
-    int doublings = Math.min(failedProbes++, MAX_PAUSE_DOUBLINGS);
-    pausedUntil = now.plus(FIRST_PROBE_PAUSE.times(1L << doublings));
+    int doublings = Math.min(failedProbes++, MAX_BACKOFF_DOUBLINGS);
+    backoffUntil = now.plus(INITIAL_PROBE_BACKOFF.times(1L << doublings));
   }
 
   /** Clears the recorded state and the probe failures, as the host list is current again. */
-  void listCurrent() {
-    reportedUsable = null;
+  void clearProbeHistory() {
+    lastUsable = null;
     failedProbes = 0;
-    pausedUntil = Moment.START;
+    backoffUntil = Moment.START;
   }
 
   /**
    * Records whether the host is usable; returns whether that is a change. Before the first record
    * it counts as usable.
    */
-  boolean isNews(boolean usable) {
-    boolean news = reportedUsable == null ? !usable : reportedUsable != usable;
-    reportedUsable = usable;
-    return news;
+  boolean recordUsable(boolean usable) {
+    boolean changed = lastUsable == null ? !usable : lastUsable != usable;
+    lastUsable = usable;
+    return changed;
   }
 }
--- a/src/main/java/flintlead/scheduling/lease/HostLeases.java
+++ b/src/main/java/flintlead/scheduling/lease/HostLeases.java
@@ -25,7 +25,7 @@
    * A list that was never confirmed is reported as stale only after this time, so that a starting
    * gateway can get its first confirmation from discovery.
    */
-  private static final Span START_PATIENCE = Span.ofMillis(2_000);
+  private static final Span INITIAL_CONFIRMATION_TIMEOUT = Span.ofMillis(2_000);
 
   private final LeaseTerms terms;
   private final LeaseListener listener;
@@ -91,13 +91,13 @@
     firstCheckAt = firstCheckAt == null ? now : firstCheckAt;
     boolean current = isListCurrent(now);
     Span age = list.age(now, firstCheckAt);
-    if (!current && staleSince == null && age.isLongerThan(START_PATIENCE)) {
+    if (!current && staleSince == null && age.isLongerThan(INITIAL_CONFIRMATION_TIMEOUT)) {
       staleSince = now;
       listener.listStale(age);
     } else if (current && staleSince != null) {
       listener.listCurrent(now.since(staleSince));
       staleSince = null;
-      hosts.values().forEach(HostLease::listCurrent);
+      hosts.values().forEach(HostLease::clearProbeHistory);
     }
   }
 
@@ -112,23 +112,23 @@
     if (lease.holds(now)) {
       return SendPermission.GRANTED;
     }
-    return refusal(lease, now) == null ? SendPermission.AFTER_PROBE : SendPermission.REFUSED;
+    return refusalReason(lease, now) == null ? SendPermission.AFTER_PROBE : SendPermission.REFUSED;
   }
 
   /**
    * Why a host whose lease has ended cannot be probed; null if it can, or if a probe is in flight.
    */
-  private RefusalReason refusal(HostLease lease, Moment now) {
+  private RefusalReason refusalReason(HostLease lease, Moment now) {
     if (!terms.probesAllowed()) {
       return RefusalReason.PROBES_FORBIDDEN;
     }
     if (lease.isProbing()) {
       return null;
     }
-    if (lease.isPaused(now)) {
+    if (lease.isBackingOff(now)) {
       return RefusalReason.PROBE_DENIED;
     }
-    return lease.hasProbeLeft(now) ? null : RefusalReason.PROBE_LIMIT;
+    return lease.hasProbeToken(now) ? null : RefusalReason.PROBE_LIMIT;
   }
 
   /** Whether the host's lease is valid, so that new work for it needs no probe. */
@@ -148,8 +148,8 @@
    */
   public void proven(long host, Moment askedAt, HostProof by, Moment now) {
     HostLease lease = lease(host);
-    if (lease.prove(askedAt)) {
-      report(host, lease, true, by, now);
+    if (lease.renew(askedAt)) {
+      reportIfChanged(host, lease, true, by, now);
     }
   }
 
@@ -157,7 +157,7 @@
   public void turnedAway(long host, Moment now) {
     HostLease lease = lease(host);
     lease.end();
-    report(host, lease, false, HostProof.TURNED_AWAY, now);
+    reportIfChanged(host, lease, false, HostProof.TURNED_AWAY, now);
   }
 
   /**
@@ -166,8 +166,8 @@
    */
   public void unreachable(long host, Moment now) {
     HostLease lease = lease(host);
-    lease.unreachable(now);
-    report(host, lease, false, HostProof.UNREACHABLE, now);
+    lease.markUnreachable(now);
+    reportIfChanged(host, lease, false, HostProof.UNREACHABLE, now);
   }
 
   /**
@@ -177,8 +177,9 @@
     hosts.remove(host);
   }
 
-  private void report(long host, HostLease lease, boolean usable, HostProof by, Moment now) {
-    if (!isListCurrent(now) && lease.isNews(usable)) {
+  private void reportIfChanged(
+      long host, HostLease lease, boolean usable, HostProof by, Moment now) {
+    if (!isListCurrent(now) && lease.recordUsable(usable)) {
       listener.hostChanged(host, usable, by);
     }
   }
@@ -191,7 +192,7 @@
    */
   public boolean beginProbe(long host, Moment now) {
     HostLease lease = lease(host);
-    RefusalReason refusal = refusal(lease, now);
+    RefusalReason refusal = refusalReason(lease, now);
     if (refusal != null) {
       refused(refusal);
       return false;
@@ -214,7 +215,7 @@
       proven(host, askedAt, HostProof.PROBE, now);
     } else {
       lease.probeFailed(now);
-      report(host, lease, false, result, now);
+      reportIfChanged(host, lease, false, result, now);
     }
   }
 
@@ -227,21 +228,21 @@
    *
    * @return {@link Moment#START} if nothing indicates a restart
    */
-  public Moment presumedStart(long host, Moment now) {
+  public Moment latestPossibleStart(long host, Moment now) {
     HostLease lease = listIsAuthoritative ? null : hosts.get(host);
-    if (lease == null || !isInDoubt(lease, now)) {
+    if (lease == null || !isIdentityUnknown(lease, now)) {
       return Moment.START;
     }
-    return lease.provenAgainAt() == null ? now : lease.provenAgainAt();
+    return lease.reachableAgainAt() == null ? now : lease.reachableAgainAt();
   }
 
   /** Whether the process at the host's address is known to be the one in the host list. */
   public boolean isIdentityKnown(long host, Moment now) {
     HostLease lease = listIsAuthoritative ? null : hosts.get(host);
-    return lease == null || !isInDoubt(lease, now);
+    return lease == null || !isIdentityUnknown(lease, now);
   }
 
-  private boolean isInDoubt(HostLease lease, Moment now) {
+  private boolean isIdentityUnknown(HostLease lease, Moment now) {
     return !isListCurrent(now)
         && lease.unreachableAt() != null
         && !list.wasConfirmedSince(lease.unreachableAt());
--- a/src/main/java/flintlead/scheduling/lease/ListLease.java
+++ b/src/main/java/flintlead/scheduling/lease/ListLease.java
@@ -45,9 +45,9 @@
     if (confirmedAt == null) {
       return false;
     }
-    Moment end = confirmedAt.plus(terms.afterConfirmation());
+    Moment end = confirmedAt.plus(terms.validAfterConfirmation());
     if (brokenAt != null) {
-      end = Moment.earlier(end, brokenAt.plus(terms.afterBreak()));
+      end = Moment.earlier(end, brokenAt.plus(terms.validAfterBreak()));
     }
     return now.isBefore(end);
   }
--- a/src/test/java/flintlead/scheduling/lease/HostLeasesTest.java
+++ b/src/test/java/flintlead/scheduling/lease/HostLeasesTest.java
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void aConfirmedListRenewsAllUntilSilenceCountsAsToldAndAPartOfTheGrace() {
+  void confirmedListRenewsAllForSilenceTimeoutAndLeaseDuration() {
     leases.listConfirmed(at(0));
     assertEquals(SendPermission.GRANTED, permission(4_799));
     assertEquals(SendPermission.AFTER_PROBE, permission(4_800));
@@ -68,7 +68,7 @@
   }
 
   @Test
-  void aBrokenConnectionToDiscoveryEndsThemSooner() {
+  void brokenConnectionToDiscoveryEndsLeasesSooner() {
     leases.listConfirmed(at(0));
     leases.listBroken(at(500));
     leases.listBroken(at(900));
@@ -84,13 +84,13 @@
   }
 
   @Test
-  void aListThatNobodyHasConfirmedRenewsNothing() {
+  void unconfirmedListRenewsNothing() {
     leases.listBroken(at(0));
     assertEquals(SendPermission.AFTER_PROBE, permission(0));
   }
 
   @Test
-  void aProofCountsFromWhenItWasAskedFor() {
+  void proofCountsFromWhenItsRequestWasSent() {
     probe(0, HostProof.PROBE, 300);
     assertEquals(SendPermission.GRANTED, permission(799));
     assertEquals(SendPermission.AFTER_PROBE, permission(800));
@@ -103,7 +103,7 @@
   }
 
   @Test
-  void aHostThatDeniesItIsProbedAgainAfterPausesThatGrow() {
+  void failedProbesAreRetriedWithIncreasingBackoff() {
     probe(0, HostProof.PROBE_DENIED, 0);
     assertEquals(SendPermission.REFUSED, permission(399));
     assertFalse(leases.beginProbe(HOST, at(399)));
@@ -116,20 +116,20 @@
   }
 
   @Test
-  void whoWaitsForAProbeThatIsOutWaitsOn() {
+  void newWorkWaitsForAProbeInFlight() {
     assertTrue(leases.beginProbe(HOST, at(0)));
     assertEquals(SendPermission.AFTER_PROBE, permission(100));
   }
 
   @Test
-  void aHostThatTurnsWorkAwayHasToProveItself() {
+  void rejectedWorkEndsTheLease() {
     probe(0, HostProof.PROBE, 1);
     leases.turnedAway(HOST, at(100));
     assertEquals(SendPermission.AFTER_PROBE, permission(100));
   }
 
   @Test
-  void withoutProbesOnlyServedWorkRenews() {
+  void withoutProbesOnlyServedWorkRenewsTheLease() {
     leases = leases(false, 1);
     assertEquals(SendPermission.REFUSED, permission(0));
     leases.proven(HOST, at(0), HostProof.SERVED, at(50));
@@ -138,7 +138,7 @@
   }
 
   @Test
-  void theProbesOfAllGatewaysToOneHostAreBounded() {
+  void probesOfAllGatewaysToOneHostAreLimited() {
     leases = leases(true, 100);
     int sent = 0;
     for (int millis = 0; millis < 60_000; millis += 10) {
@@ -153,7 +153,7 @@
   }
 
   @Test
-  void aHostThatCouldNotBeReachedIsAnotherProcessUntilTheListSaysMore() {
+  void unreachableHostMayBeAnotherProcessUntilTheListIsConfirmed() {
     leases.listConfirmed(at(0));
     probe(4_900, HostProof.PROBE, 4_901);
     leases.unreachable(HOST, at(5_000));
@@ -163,17 +163,17 @@
         SendPermission.AFTER_PROBE,
         permission(5_011),
         "a proof requested before the host was unreachable is void");
-    assertEquals(at(5_500), leases.presumedStart(HOST, at(5_500)), "latest possible start");
+    assertEquals(at(5_500), leases.latestPossibleStart(HOST, at(5_500)), "latest possible start");
     probe(6_000, HostProof.PROBE, 6_001);
-    assertEquals(at(6_000), leases.presumedStart(HOST, at(9_000)));
+    assertEquals(at(6_000), leases.latestPossibleStart(HOST, at(9_000)));
     assertFalse(leases.isIdentityKnown(HOST, at(9_000)));
     leases.listConfirmed(at(9_000));
-    assertEquals(Moment.START, leases.presumedStart(HOST, at(9_001)));
+    assertEquals(Moment.START, leases.latestPossibleStart(HOST, at(9_001)));
     assertTrue(leases.isIdentityKnown(HOST, at(9_001)));
   }
 
   @Test
-  void aProcessThatTheListCallsNewHasNoPast() {
+  void forgottenHostHasNoLease() {
     probe(0, HostProof.PROBE, 1);
     leases.forget(HOST);
     assertEquals(SendPermission.AFTER_PROBE, permission(2));
@@ -201,30 +201,30 @@
    * the gateway counts as notified of the drain.
    */
   @Property(tries = 500)
-  void noPermissionOutlivesTheGraceOfADrain(@ForAll long seed) {
+  void noPermissionAfterTheDrainGracePeriod(@ForAll long seed) {
     Random random = new Random(seed);
     leases = leases(random.nextInt(4) > 0, 1 + random.nextInt(5));
-    double outage = 2_000 + random.nextInt(3_000);
+    double outageStart = 2_000 + random.nextInt(3_000);
     boolean breaks = random.nextBoolean();
-    double drain = random.nextInt(15_000);
-    double told = Math.max(drain, outage + 4_000);
+    double drainStart = random.nextInt(15_000);
+    double notifiedAt = Math.max(drainStart, outageStart + 4_000);
     for (double now = 0; now < 20_000; now += 1 + random.nextInt(60)) {
-      if (now < outage) {
+      if (now < outageStart) {
         leases.listConfirmed(at(now - random.nextInt(500)));
       } else if (breaks) {
         leases.listBroken(at(now));
       }
       SendPermission permission = permission(now);
       assertTrue(
-          permission != SendPermission.GRANTED || now < told + GRACE_MILLIS,
-          "granted at " + now + " ms, notified at " + told + " ms");
-      double asked = now - random.nextInt(700);
-      boolean ready = asked < drain;
+          permission != SendPermission.GRANTED || now < notifiedAt + GRACE_MILLIS,
+          "granted at " + now + " ms, notified at " + notifiedAt + " ms");
+      double askedAt = now - random.nextInt(700);
+      boolean askedBeforeDrain = askedAt < drainStart;
       if (permission == SendPermission.AFTER_PROBE && random.nextBoolean()) {
-        probe(now, now < drain ? HostProof.PROBE : HostProof.PROBE_DENIED, now);
-      } else if (ready && random.nextInt(8) == 0) {
-        leases.proven(HOST, at(asked), HostProof.SERVED, at(now));
-      } else if (!ready && random.nextBoolean()) {
+        probe(now, now < drainStart ? HostProof.PROBE : HostProof.PROBE_DENIED, now);
+      } else if (askedBeforeDrain && random.nextInt(8) == 0) {
+        leases.proven(HOST, at(askedAt), HostProof.SERVED, at(now));
+      } else if (!askedBeforeDrain && random.nextBoolean()) {
         leases.turnedAway(HOST, at(now));
       } else if (random.nextInt(40) == 0) {
         leases.unreachable(HOST, at(now));
