--- a/src/main/java/flintlead/scheduling/AttemptRules.java
+++ b/src/main/java/flintlead/scheduling/AttemptRules.java
@@ -23,7 +23,7 @@
   private static final int DEADLINE_MARGIN_TICKS = 2;
 
   /** Safety margin before a deadline or the end of an idempotency key's window. */
-  final Span margin;
+  final Span deadlineMargin;
 
   private final SchedulerState state;
 
@@ -32,7 +32,7 @@
 
   AttemptRules(SchedulerState state) {
     this.state = state;
-    this.margin = state.deployment.tick().times(DEADLINE_MARGIN_TICKS);
+    this.deadlineMargin = state.deployment.tick().times(DEADLINE_MARGIN_TICKS);
     this.attemptLimits =
         state.deployment.triggerTypes().stream().mapToInt(this::attemptLimit).toArray();
   }
@@ -42,12 +42,13 @@
    * operators want retries to go to the invocations that are worth most.
    */
   private int attemptLimit(TriggerType type) {
-    int most = Math.max(1, state.deployment.attemptLimit());
-    double highest = state.deployment.highestBilledValue();
-    if (highest <= 0) {
-      return most;
+    int maxAttempts = Math.max(1, state.deployment.attemptLimit());
+    double highestValue = state.deployment.highestBilledValue();
+    if (highestValue <= 0) {
+      return maxAttempts;
     }
-    return Math.min(most, 1 + (int) Math.ceil((most - 1) * type.billedValue() / highest));
+    return Math.min(
+        maxAttempts, 1 + (int) Math.ceil((maxAttempts - 1) * type.billedValue() / highestValue));
   }
 
   /**
@@ -77,22 +78,23 @@
     }
     // While the host list is stale, an address that could not be reached may by now belong to a
     // process of another group.
-    if (invocation.type.group() != Group.ALL && (isInDoubt(first.host) || isInDoubt(host))) {
+    if (invocation.type.group() != Group.ALL
+        && (isIdentityUnknown(first.host) || isIdentityUnknown(host))) {
       return false;
     }
     Moment windowEnd = first.sentAt.plus(invocation.type.window());
     return invocation.type.group().covers(first.host.entry, host.entry)
-        && state.now().plus(margin).isBefore(windowEnd);
+        && state.now().plus(deadlineMargin).isBefore(windowEnd);
   }
 
-  private boolean isInDoubt(Host host) {
+  private boolean isIdentityUnknown(Host host) {
     return !state.leases.isIdentityKnown(host.id(), state.now());
   }
 
   /** Whether there is time for another attempt and a host that may be sent it. */
   boolean mayRetry(InvocationState invocation) {
     return !attemptsExhausted(invocation)
-        && state.now().plus(margin).isBefore(invocation.deadline)
+        && state.now().plus(deadlineMargin).isBefore(invocation.deadline)
         && Arrays.stream(state.hosts.listed())
             .anyMatch(host -> acceptsNewWork(host) && mayAttempt(invocation, host));
   }
--- a/src/main/java/flintlead/scheduling/HostHealth.java
+++ b/src/main/java/flintlead/scheduling/HostHealth.java
@@ -16,7 +16,7 @@
    * Time without an answer after which a host counts as silent, in latency objectives. With a fixed
    * time all hosts would count as silent where an invocation runs for a second.
    */
-  private static final double SILENT_AFTER_OBJECTIVES = 1;
+  private static final double SILENCE_TIMEOUT_OBJECTIVES = 1;
 
   /**
    * Silent attempts after which a host is ejected where hedging is not supported, as moving an
@@ -51,8 +51,8 @@
   }
 
   /** How long an attempt may be in flight before its host can count as silent. */
-  static Span silentAfter(InvocationState invocation) {
-    return invocation.type.latencyObjective().times(SILENT_AFTER_OBJECTIVES);
+  static Span silenceTimeout(InvocationState invocation) {
+    return invocation.type.latencyObjective().times(SILENCE_TIMEOUT_OBJECTIVES);
   }
 
   /**
@@ -60,8 +60,8 @@
    * invocation at a time as a trial, until one succeeds.
    */
   boolean isEjected(Host host) {
-    double mostEjected = MAX_EJECTED_SHARE * state.hosts.listed().length;
-    if (host.consecutiveEjections == 0 || state.hosts.ejectedCount() > mostEjected) {
+    double maxEjected = MAX_EJECTED_SHARE * state.hosts.listed().length;
+    if (host.consecutiveEjections == 0 || state.hosts.ejectedCount() > maxEjected) {
       return false;
     }
     return state.now().isBefore(host.ejectedUntil) || host.inFlight > host.inFlightAtEjection;
@@ -85,8 +85,8 @@
    * from may just be slow.
    */
   boolean ejectIfSilent(Host host) {
-    int enough = state.deployment.supportsHedging() ? 1 : SILENT_ATTEMPTS_TO_EJECT;
-    if (++host.silentAttempts < enough) {
+    int required = state.deployment.supportsHedging() ? 1 : SILENT_ATTEMPTS_TO_EJECT;
+    if (++host.silentAttempts < required) {
       return false;
     }
     eject(host);
--- a/src/main/java/flintlead/scheduling/Placement.java
+++ b/src/main/java/flintlead/scheduling/Placement.java
@@ -26,8 +26,8 @@
    */
   private static final double TARGET_CONCURRENCY = 3;
 
-  private static final double MAX_SPREAD_INCREASE = 2;
-  private static final double MAX_SPREAD_DECREASE = 0.8;
+  private static final double MAX_REPLICA_CHANGE_FACTOR = 2;
+  private static final double MIN_REPLICA_CHANGE_FACTOR = 0.8;
 
   /** A replica target that has changed by this factor is gossiped to some peers after a delay. */
   private static final double GOSSIP_CHANGE_FACTOR = 2;
@@ -39,14 +39,14 @@
    * Initial estimate of the warm response time, as a share of the shortest latency objective; used
    * until answers are measured.
    */
-  private static final double INITIAL_WARM_RESPONSE = 0.2;
+  private static final double INITIAL_WARM_RESPONSE_SHARE = 0.2;
 
   private static final double WARM_RESPONSE_WEIGHT = 0.02;
 
   /**
    * Invocations wait for a load in flight until it has taken this multiple of its expected time.
    */
-  private static final double MAX_LOAD_FACTOR = 2.0;
+  private static final double MAX_LOAD_TIME_FACTOR = 2.0;
 
   /** Expected load time if the invocation gives no hint. */
   private static final Span DEFAULT_LOAD_TIME = Span.ofMillis(800);
@@ -64,7 +64,7 @@
     this.health = health;
     this.capacity = capacity;
     this.gossip = new SpreadGossip(state);
-    this.warmResponseTime = state.deployment.shortestObjective().times(INITIAL_WARM_RESPONSE);
+    this.warmResponseTime = state.deployment.shortestObjective().times(INITIAL_WARM_RESPONSE_SHARE);
   }
 
   /** Returns the moving average of the response time of warm instances. */
@@ -85,8 +85,8 @@
    */
   Host warmHost(InvocationState invocation) {
     Moment now = state.now();
-    double part = 1 / invocation.function.replicaTarget;
-    double parts = 0;
+    double sharePerHost = 1 / invocation.function.replicaTarget;
+    double warmShare = 0;
     Host best = null;
     int ties = 0;
     for (InstanceEstimate estimate : invocation.function.estimates) {
@@ -96,29 +96,29 @@
           || !usable(invocation, host)) {
         continue;
       }
-      parts += part;
+      warmShare += sharePerHost;
       double difference = best == null ? -1 : compare(host, best);
       ties = difference < 0 ? 1 : ties + (difference == 0 ? 1 : 0);
       if (difference < 0 || difference == 0 && state.random.nextInt(ties) == 0) {
         best = host;
       }
     }
-    invocation.hostsToSkip = Math.max(0, (invocation.placementDraw - parts) / part);
-    boolean takesPart = invocation.placementDraw < parts || !capacity.maySpill();
-    return takesPart ? best : null;
+    invocation.hostsToSkip = Math.max(0, (invocation.placementDraw - warmShare) / sharePerHost);
+    boolean usesWarmHost = invocation.placementDraw < warmShare || !capacity.maySpill();
+    return usesWarmHost ? best : null;
   }
 
   private boolean hasFreeSlot(InvocationState invocation, InstanceEstimate estimate, Moment now) {
-    return believedInstances(estimate) > 0
+    return estimatedInstances(estimate) > 0
         && !estimate.host.fullUntil.isAfter(now)
         && estimate.inFlight < invocation.slotsPerInstance * estimate.instances;
   }
 
   /** Returns a negative number if the first host is the better one. */
   private double compare(Host one, Host other) {
-    boolean proven = state.leases.holds(one.id(), state.now());
-    boolean otherProven = state.leases.holds(other.id(), state.now());
-    return proven == otherProven ? compareLoad(one, other) : proven ? -1 : 1;
+    boolean leaseHolds = state.leases.holds(one.id(), state.now());
+    boolean otherLeaseHolds = state.leases.holds(other.id(), state.now());
+    return leaseHolds == otherLeaseHolds ? compareLoad(one, other) : leaseHolds ? -1 : 1;
   }
 
   /**
@@ -132,27 +132,27 @@
    * Departure: whether to queue the invocation, because an own slot or load becomes free before a
    * further load would complete.
    */
-  boolean slotFreeSoon(InvocationState invocation) {
+  boolean isSlotFreeSoon(InvocationState invocation) {
     Moment now = state.now();
     Span loadTime = loadTime(invocation);
     double slots = 0;
-    Span first = loadTime;
+    Span firstFreeIn = loadTime;
     for (InstanceEstimate estimate : invocation.function.estimates) {
       if (!usable(invocation, estimate.host)) {
         continue;
       }
       Span loadingFor = now.since(estimate.loadingSince);
-      if (believedInstances(estimate) > 0
+      if (estimatedInstances(estimate) > 0
           && (estimate.inFlight > 0 || !capacity.hasCapacity(estimate.host))) {
         slots += invocation.slotsPerInstance * estimate.instances;
-        first = Span.ZERO;
-      } else if (estimate.loadsInFlight > 0 && loadingFor.isShorterThan(longestLoad(invocation))) {
+        firstFreeIn = Span.ZERO;
+      } else if (estimate.loadsInFlight > 0 && loadingFor.isShorterThan(maxLoadTime(invocation))) {
         slots += invocation.slotsPerInstance;
-        first = Span.shorter(first, Span.longer(Span.ZERO, loadTime.minus(loadingFor)));
+        firstFreeIn = Span.shorter(firstFreeIn, Span.longer(Span.ZERO, loadTime.minus(loadingFor)));
       }
     }
-    double turns = (invocation.function.queued + 1) / Math.max(1, slots);
-    Span wait = first.plus(warmResponseTime.times(turns));
+    double rounds = (invocation.function.queued + 1) / Math.max(1, slots);
+    Span wait = firstFreeIn.plus(warmResponseTime.times(rounds));
     return slots > 0
         && wait.isShorterThan(loadTime)
         && now.plus(wait).isBefore(invocation.queueUntil);
@@ -163,7 +163,7 @@
    * searched for along the hash walk, which begins at the function's home and is the same at all
    * gateways.
    */
-  Host firstHostOnWalk(InvocationState invocation) {
+  Host hostForLoad(InvocationState invocation) {
     if (!capacity.mayStartLoad() || !capacity.maySpill() && isWarmSomewhere(invocation)) {
       return null;
     }
@@ -185,7 +185,7 @@
    */
   boolean isWarmSomewhere(InvocationState invocation) {
     for (InstanceEstimate estimate : invocation.function.estimates) {
-      if (believedInstances(estimate) > 0 && usable(invocation, estimate.host)) {
+      if (estimatedInstances(estimate) > 0 && usable(invocation, estimate.host)) {
         return true;
       }
     }
@@ -195,7 +195,7 @@
   private boolean mayLoad(InvocationState invocation, Host host) {
     InstanceEstimate estimate = invocation.function.estimateAt(host);
     return !state.now().isBefore(host.fullUntil)
-        && (estimate == null || estimate.loadsInFlight == 0 && believedInstances(estimate) == 0)
+        && (estimate == null || estimate.loadsInFlight == 0 && estimatedInstances(estimate) == 0)
         && state.loadOrders.find(host, invocation.function.id) == null;
   }
 
@@ -218,15 +218,15 @@
   }
 
   /** Returns the time after which a load for the invocation is no longer expected to complete. */
-  static Span longestLoad(InvocationState invocation) {
-    return loadTime(invocation).times(MAX_LOAD_FACTOR);
+  static Span maxLoadTime(InvocationState invocation) {
+    return loadTime(invocation).times(MAX_LOAD_TIME_FACTOR);
   }
 
   /**
    * Returns the estimated number of loaded instances. The estimate expires after the configured
    * keep-alive time without use.
    */
-  private int believedInstances(InstanceEstimate estimate) {
+  private int estimatedInstances(InstanceEstimate estimate) {
     return estimate.instances(state.now(), state.deployment.instanceKeepAlive());
   }
 
@@ -235,13 +235,13 @@
   }
 
   private void recordInstances(InstanceEstimate estimate, int atLeast) {
-    estimate.observe(Math.max(believedInstances(estimate), atLeast), state.now());
+    estimate.observe(Math.max(estimatedInstances(estimate), atLeast), state.now());
   }
 
   void recordSuccess(Attempt attempt) {
     InstanceEstimate estimate = attempt.estimate;
-    boolean oneMore = attempt.remark.loadStarted() && believedInstances(estimate) > 0;
-    recordInstances(estimate, oneMore ? estimate.instances + 1 : 1);
+    boolean additional = attempt.remark.loadStarted() && estimatedInstances(estimate) > 0;
+    recordInstances(estimate, additional ? estimate.instances + 1 : 1);
     if (attempt.warm) {
       Span before = warmResponseTime.times(1 - WARM_RESPONSE_WEIGHT);
       warmResponseTime = before.plus(attempt.elapsed.times(WARM_RESPONSE_WEIGHT));
@@ -258,12 +258,12 @@
       return;
     }
     FunctionState function = state.functions.getOrCreate(functionId);
-    InstanceEstimate known = function.estimateAt(host);
+    InstanceEstimate existing = function.estimateAt(host);
     Moment seenAt = state.now().minus(age);
     if (rules.acceptsNewWork(host)
         && age.isShorterThan(state.deployment.instanceKeepAlive())
         && seenAt.isAfter(host.entry.startedAt())
-        && (known == null || known.learnedFromPeer && seenAt.isAfter(known.lastUsedAt))) {
+        && (existing == null || existing.learnedFromPeer && seenAt.isAfter(existing.lastUsedAt))) {
       function.getOrCreateEstimate(host).learn(instances, seenAt);
     }
   }
@@ -282,9 +282,10 @@
     }
     double concurrency = (full ? TARGET_CONCURRENCY : 1) + attempt.remark.concurrency();
     FunctionState function = attempt.invocation.function;
-    double change = concurrency / TARGET_CONCURRENCY;
-    double bounded = Math.max(MAX_SPREAD_DECREASE, Math.min(MAX_SPREAD_INCREASE, change));
-    setReplicaTarget(function, function.replicaTarget * bounded);
+    double changeFactor = concurrency / TARGET_CONCURRENCY;
+    double boundedFactor =
+        Math.max(MIN_REPLICA_CHANGE_FACTOR, Math.min(MAX_REPLICA_CHANGE_FACTOR, changeFactor));
+    setReplicaTarget(function, function.replicaTarget * boundedFactor);
   }
 
   private void setReplicaTarget(FunctionState function, double target) {
--- a/src/main/java/flintlead/scheduling/Scheduler.java
+++ b/src/main/java/flintlead/scheduling/Scheduler.java
@@ -51,7 +51,7 @@
   private final HostHealth health;
   private final CapacityLimits capacity;
   private final Placement placement;
-  private final ReleaseOrder release;
+  private final ReleaseOrder releaseOrder;
 
   /** Creates the scheduler of one gateway; {@code seed} determines all random choices. */
   public Scheduler(SchedulerContext context, Deployment deployment, long seed) {
@@ -62,7 +62,7 @@
     this.health = new HostHealth(state);
     this.capacity = new CapacityLimits(state);
     this.placement = new Placement(state, rules, health, capacity);
-    this.release = new ReleaseOrder(state, placement, this::schedule, this::abandon);
+    this.releaseOrder = new ReleaseOrder(state, placement, this::schedule, this::abandon);
     if (deployment.hostsOnRequest()) {
       context.subscribeHosts(true);
     }
@@ -73,10 +73,10 @@
     Moment now = context.now();
     capacity.recordArrival(now);
     InvocationState invocation = state.newInvocation(id, spec, this);
-    release.prioritize(invocation, now);
+    releaseOrder.prioritize(invocation, now);
     // Rule 1: one timer covers the whole invocation, so that it is also answered in time while it
     // is queued or retried.
-    Moment answerAt = Moment.later(now, invocation.deadline.minus(rules.margin));
+    Moment answerAt = Moment.later(now, invocation.deadline.minus(rules.deadlineMargin));
     invocation.cancelTimer = context.schedule(answerAt, invocation::abandon);
     schedule(invocation);
     return invocation;
@@ -86,11 +86,11 @@
   private boolean schedule(InvocationState invocation) {
     Host host = placement.warmHost(invocation);
     boolean warm = host != null;
-    if (!warm && !placement.slotFreeSoon(invocation)) {
-      host = placement.firstHostOnWalk(invocation);
+    if (!warm && !placement.isSlotFreeSoon(invocation)) {
+      host = placement.hostForLoad(invocation);
     }
     if (host == null) {
-      release.enqueue(invocation);
+      releaseOrder.enqueue(invocation);
       return false;
     }
     if (!warm && placement.isWarmSomewhere(invocation)) {
@@ -101,12 +101,12 @@
   }
 
   private void send(InvocationState invocation, Host host, boolean warm) {
-    release.dequeue(invocation);
+    releaseOrder.dequeue(invocation);
     Attempt attempt = state.newAttempt(invocation, host, warm);
     capacity.recordAttempt(attempt);
     context.dispatch(invocation.id, host.id(), invocation.deadline);
-    Span loadTime = warm ? Span.ZERO : Placement.longestLoad(invocation);
-    checkSilenceAfter(attempt, Span.longer(HostHealth.silentAfter(invocation), loadTime));
+    Span loadTime = warm ? Span.ZERO : Placement.maxLoadTime(invocation);
+    checkSilenceAfter(attempt, Span.longer(HostHealth.silenceTimeout(invocation), loadTime));
   }
 
   private void checkSilenceAfter(Attempt attempt, Span delay) {
@@ -121,7 +121,7 @@
     if (attempt.hostSilent()) {
       state.loadEnded(attempt);
       if (!health.ejectIfSilent(attempt.host)) {
-        checkSilenceAfter(attempt, HostHealth.silentAfter(attempt.invocation));
+        checkSilenceAfter(attempt, HostHealth.silenceTimeout(attempt.invocation));
       }
     }
     if (!attempt.invocation.settled && attempt.host.consecutiveEjections > 0) {
@@ -140,7 +140,7 @@
     }
     if (deployment.supportsHedging()) {
       if (!schedule(invocation)) {
-        release.dequeue(invocation);
+        releaseOrder.dequeue(invocation);
       }
     } else if (deployment.supportsCancellation()
         && invocation.type.effect() != Effect.NON_IDEMPOTENT) {
@@ -167,7 +167,7 @@
         abandon(invocation);
       }
     }
-    release.releasePending();
+    releaseOrder.releasePending();
   }
 
   /** Updates the state of the host, and of the function on it, from the outcome of an attempt. */
@@ -229,7 +229,7 @@
     state.loadOrders.add(invocation, host);
     capacity.recordLoadOrder();
     context.load(host.id(), function, 1);
-    release.enqueue(invocation);
+    releaseOrder.enqueue(invocation);
     return true;
   }
 
@@ -241,10 +241,10 @@
     if (invocation.settled) {
       return;
     }
-    boolean harmless = rules.mayReject(invocation);
+    boolean retryIsSafe = rules.mayReject(invocation);
     settle(invocation);
-    if (harmless) {
-      release.refundQuota(invocation);
+    if (retryIsSafe) {
+      releaseOrder.refundQuota(invocation);
       Span retryAfter = rules.anyHostAcceptsWork() ? RETRY_AFTER : RETRY_AFTER_WITHOUT_HOSTS;
       context.throttle(invocation.id, deployment.boundRetryAfter(retryAfter));
     } else {
@@ -255,7 +255,7 @@
   /** Ends scheduling of the invocation; cancels attempts in flight where hosts support it. */
   private void settle(InvocationState invocation) {
     invocation.settled = true;
-    release.dequeue(invocation);
+    releaseOrder.dequeue(invocation);
     invocation.cancelTimer.run();
     for (Attempt attempt : invocation.attempts) {
       if (attempt.outcome == null && deployment.supportsCancellation()) {
@@ -269,7 +269,7 @@
     // A streamed response is already on its way to the client, so the invocation needs no further
     // scheduling. Its outcome is reported later.
     attempt.invocation.settled = true;
-    release.dequeue(attempt.invocation);
+    releaseOrder.dequeue(attempt.invocation);
     attempt.host.recordAnswer(context.now());
   }
 
@@ -277,7 +277,7 @@
   public void clientDisconnected(InvocationState invocation) {
     if (!invocation.settled) {
       settle(invocation);
-      release.releasePending();
+      releaseOrder.releasePending();
     }
   }
 
@@ -289,15 +289,15 @@
 
   @Override
   public void updateHosts(List<HostEntry> entries) {
-    state.hosts.update(entries, this::hostStarted, state.loadOrders::involve);
-    release.releasePending();
+    state.hosts.update(entries, this::resetHost, state.loadOrders::involve);
+    releaseOrder.releasePending();
   }
 
   /**
    * Resets the health and the limits of a host that is new, or whose process restarted under the
    * same id: nothing known of the previous process applies to it, and no function is loaded.
    */
-  private void hostStarted(Host host) {
+  private void resetHost(Host host) {
     health.reset(host);
     capacity.reset(host);
   }
@@ -323,7 +323,7 @@
       capacity.pauseLoads(host);
     }
     state.loadOrders.end(host, function, outcome == Outcome.OK);
-    release.releasePending();
+    releaseOrder.releasePending();
   }
 
   @Override
