--- a/src/test/java/flintlead/ids/NameHashTest.java
+++ b/src/test/java/flintlead/ids/NameHashTest.java
@@ -25,7 +25,7 @@
   private static final long FUNCTION = 102427200322L;
 
   @Test
-  void twoNamesWithOneNumberAreNoticed() {
+  void namesWithTheSameNumberAreRejected() {
     FunctionNames names = new FunctionNames(2, name -> name.length());
     assertEquals(1, names.remember("a"));
     assertTrue(
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void theNamesUsedLongestAgoAreForgotten() {
+  void leastRecentlyUsedNamesAreForgotten() {
     FunctionNames names = new FunctionNames(2, name -> name.length());
     names.remember("a");
     names.remember("bb");
--- a/src/test/java/flintlead/scheduling/BoundedStateTest.java
+++ b/src/test/java/flintlead/scheduling/BoundedStateTest.java
@@ -15,22 +15,23 @@
    */
   @Test
   void memoryDoesNotGrowWithNamesAndHosts() {
-    ScriptedFleet fleet = new ScriptedFleet(ScriptedFleet.facts(true, true, 1), 2);
+    ScriptedFleet fleet = new ScriptedFleet(ScriptedFleet.deployment(true, true, 1), 2);
     long[] used = new long[2];
     for (int half = 0; half < 2; half++) {
       for (int i = 0; i < 60_000; i++) {
         long number = half * 60_000L + i;
-        ScriptedFleet.Taken taken = fleet.take(ScriptedFleet.IDEMPOTENT, 1_000 + number, 500);
-        if (!fleet.out.isEmpty()) {
-          fleet.end(fleet.out.get(0), Outcome.OK);
+        ScriptedFleet.ClientInvocation invocation =
+            fleet.submit(ScriptedFleet.IDEMPOTENT, 1_000 + number, 500);
+        if (!fleet.inFlight.isEmpty()) {
+          fleet.endAttempt(fleet.inFlight.get(0), Outcome.OK);
         }
-        assertTrue(taken.answer != null || fleet.out.isEmpty());
+        assertTrue(invocation.answer != null || fleet.inFlight.isEmpty());
         if (i % 4 == 0) {
-          fleet.list(fleet.entry(10_000 + number, HostEntry.State.READY, 0));
-          fleet.list(fleet.entry(10_000 + number, HostEntry.State.GONE, 0));
-          fleet.forgetPast(10_000 + number);
+          fleet.updateHost(fleet.entry(10_000 + number, HostEntry.State.READY, 0));
+          fleet.updateHost(fleet.entry(10_000 + number, HostEntry.State.GONE, 0));
+          fleet.clearHistory(10_000 + number);
         }
-        fleet.pass(2);
+        fleet.advance(2);
       }
       System.gc();
       used[half] = Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
--- a/src/test/java/flintlead/scheduling/SchedulerPathTest.java
+++ b/src/test/java/flintlead/scheduling/SchedulerPathTest.java
@@ -12,109 +12,112 @@
 /** The main paths of the scheduler, and one simple case for each failure found. */
 class SchedulerPathTest {
 
-  private final ScriptedFleet fleet = new ScriptedFleet(ScriptedFleet.facts(true, true, 1), 5);
+  private final ScriptedFleet fleet = new ScriptedFleet(ScriptedFleet.deployment(true, true, 1), 5);
 
-  private ScriptedFleet.Taken served(ScriptedFleet fleet, int type, long fn) {
-    ScriptedFleet.Taken taken = fleet.take(type, fn, 2000);
-    fleet.pass(100);
-    fleet.end(taken.outs.get(0), Outcome.OK);
-    return taken;
+  private ScriptedFleet.ClientInvocation submitAndServe(
+      ScriptedFleet fleet, int type, long function) {
+    ScriptedFleet.ClientInvocation invocation = fleet.submit(type, function, 2000);
+    fleet.advance(100);
+    fleet.endAttempt(invocation.attempts.get(0), Outcome.OK);
+    return invocation;
   }
 
-  private void drainAll() {
+  private void drainAllHosts() {
     List.copyOf(fleet.listed.keySet())
-        .forEach(host -> fleet.list(fleet.entry(host, HostEntry.State.DRAINING, 0)));
+        .forEach(host -> fleet.updateHost(fleet.entry(host, HostEntry.State.DRAINING, 0)));
   }
 
   @Example
-  void sticksToTheWarmHost() {
-    long home = served(fleet, 0, 42).outs.get(0).host;
-    assertEquals(home, served(fleet, 0, 42).outs.get(0).host);
-    assertEquals(home, served(fleet, 1, 42).outs.get(0).host);
+  void reusesTheWarmHost() {
+    long home = submitAndServe(fleet, 0, 42).attempts.get(0).host;
+    assertEquals(home, submitAndServe(fleet, 0, 42).attempts.get(0).host);
+    assertEquals(home, submitAndServe(fleet, 1, 42).attempts.get(0).host);
   }
 
   @Example
-  void twoGatewaysWalkAlike() {
-    ScriptedFleet other = new ScriptedFleet(ScriptedFleet.facts(true, true, 1), 5);
-    for (long fn = 1; fn < 20; fn++) {
-      assertEquals(served(fleet, 0, fn).outs.get(0).host, served(other, 0, fn).outs.get(0).host);
+  void gatewaysFollowTheSameHashWalk() {
+    ScriptedFleet other = new ScriptedFleet(ScriptedFleet.deployment(true, true, 1), 5);
+    for (long function = 1; function < 20; function++) {
+      assertEquals(
+          submitAndServe(fleet, 0, function).attempts.get(0).host,
+          submitAndServe(other, 0, function).attempts.get(0).host);
     }
   }
 
   @Example
-  void spreadsWhenAFunctionTurnsHot() {
-    served(fleet, 0, 42);
+  void spreadsAFunctionWithManyInvocations() {
+    submitAndServe(fleet, 0, 42);
     for (int i = 0; i < 40; i++) {
-      fleet.take(0, 42, 2000);
+      fleet.submit(0, 42, 2000);
     }
-    assertTrue(fleet.out.stream().map(out -> out.host).distinct().count() > 1);
+    assertTrue(fleet.inFlight.stream().map(attempt -> attempt.host).distinct().count() > 1);
   }
 
   @Example
-  void aMarkLapsesAndTheWalkDecidesAgain() {
-    ScriptedFleet.Taken first = fleet.take(0, 42, 2000);
-    fleet.end(first.outs.get(0), Outcome.FULL);
-    fleet.end(first.outs.get(1), Outcome.OK);
-    fleet.pass(9000);
-    assertEquals(first.outs.get(0).host, served(fleet, 0, 42).outs.get(0).host);
+  void hashWalkDecidesAgainOnceAnEstimateExpires() {
+    ScriptedFleet.ClientInvocation first = fleet.submit(0, 42, 2000);
+    fleet.endAttempt(first.attempts.get(0), Outcome.FULL);
+    fleet.endAttempt(first.attempts.get(1), Outcome.OK);
+    fleet.advance(9000);
+    assertEquals(first.attempts.get(0).host, submitAndServe(fleet, 0, 42).attempts.get(0).host);
   }
 
   @Example
-  void noLoadWhereAFullAnswerCameWithinASecond() {
-    ScriptedFleet.Taken first = fleet.take(0, 42, 2000);
-    fleet.end(first.outs.get(0), Outcome.FULL);
-    assertNotEquals(first.outs.get(0).host, first.outs.get(1).host);
-    assertNotEquals(first.outs.get(0).host, fleet.take(0, 42, 2000).outs.get(0).host);
+  void noLoadWithinASecondOfAFullAnswer() {
+    ScriptedFleet.ClientInvocation first = fleet.submit(0, 42, 2000);
+    fleet.endAttempt(first.attempts.get(0), Outcome.FULL);
+    assertNotEquals(first.attempts.get(0).host, first.attempts.get(1).host);
+    assertNotEquals(first.attempts.get(0).host, fleet.submit(0, 42, 2000).attempts.get(0).host);
   }
 
   @Example
-  void joinsAnOwnLoadOrWaitsForIt() {
-    ScriptedFleet.Taken first = fleet.take(0, 42, 2000);
-    fleet.pass(500);
-    ScriptedFleet.Taken second = fleet.take(0, 42, 2000);
-    assertTrue(second.outs.isEmpty());
-    fleet.pass(100);
-    fleet.end(first.outs.get(0), Outcome.OK, 2);
-    assertEquals(first.outs.get(0).host, second.outs.get(0).host);
+  void waitsForAnOwnLoadInFlight() {
+    ScriptedFleet.ClientInvocation first = fleet.submit(0, 42, 2000);
+    fleet.advance(500);
+    ScriptedFleet.ClientInvocation second = fleet.submit(0, 42, 2000);
+    assertTrue(second.attempts.isEmpty());
+    fleet.advance(100);
+    fleet.endAttempt(first.attempts.get(0), Outcome.OK, 2);
+    assertEquals(first.attempts.get(0).host, second.attempts.get(0).host);
   }
 
   @Example
-  void ordersAfterAMissAndResendsOnOk() {
-    ScriptedFleet miss = new ScriptedFleet(ScriptedFleet.facts(false, true, 1), 5);
-    ScriptedFleet.Taken taken = miss.take(0, 42, 2000);
-    miss.end(taken.outs.get(0), Outcome.MISS);
-    assertEquals(1, miss.orders.size());
-    miss.pass(600);
-    miss.answerOrder(Outcome.OK);
-    assertEquals(taken.outs.get(0).host, taken.outs.get(1).host);
+  void ordersALoadAfterAMissAndResendsOnceLoaded() {
+    ScriptedFleet miss = new ScriptedFleet(ScriptedFleet.deployment(false, true, 1), 5);
+    ScriptedFleet.ClientInvocation invocation = miss.submit(0, 42, 2000);
+    miss.endAttempt(invocation.attempts.get(0), Outcome.MISS);
+    assertEquals(1, miss.loadOrders.size());
+    miss.advance(600);
+    miss.completeLoadOrder(Outcome.OK);
+    assertEquals(invocation.attempts.get(0).host, invocation.attempts.get(1).host);
   }
 
   @Example
-  void walksOnWhenTheOrderFails() {
-    ScriptedFleet miss = new ScriptedFleet(ScriptedFleet.facts(false, true, 1), 5);
-    ScriptedFleet.Taken taken = miss.take(1, 42, 2000);
-    miss.end(taken.outs.get(0), Outcome.MISS);
-    miss.answerOrder(Outcome.FULL);
-    assertNotEquals(taken.outs.get(0).host, taken.outs.get(1).host);
+  void triesAnotherHostWhenTheLoadOrderFails() {
+    ScriptedFleet miss = new ScriptedFleet(ScriptedFleet.deployment(false, true, 1), 5);
+    ScriptedFleet.ClientInvocation invocation = miss.submit(1, 42, 2000);
+    miss.endAttempt(invocation.attempts.get(0), Outcome.MISS);
+    miss.completeLoadOrder(Outcome.FULL);
+    assertNotEquals(invocation.attempts.get(0).host, invocation.attempts.get(1).host);
   }
 
   @Example
-  void furtherDispatchesGoByBilledValue() {
-    ScriptedFleet.Taken cheap = fleet.take(0, 42, 2000);
-    fleet.end(cheap.outs.get(0), Outcome.ERROR);
-    fleet.end(cheap.outs.get(1), Outcome.ERROR);
+  void retriesDependOnBilledValue() {
+    ScriptedFleet.ClientInvocation cheap = fleet.submit(0, 42, 2000);
+    fleet.endAttempt(cheap.attempts.get(0), Outcome.ERROR);
+    fleet.endAttempt(cheap.attempts.get(1), Outcome.ERROR);
     assertEquals("throttled", cheap.answer);
-    ScriptedFleet.Taken dear = fleet.take(1, 43, 2000);
-    fleet.end(dear.outs.get(0), Outcome.ERROR);
-    fleet.end(dear.outs.get(1), Outcome.ERROR);
-    assertEquals(3, dear.outs.size());
+    ScriptedFleet.ClientInvocation valuable = fleet.submit(1, 43, 2000);
+    fleet.endAttempt(valuable.attempts.get(0), Outcome.ERROR);
+    fleet.endAttempt(valuable.attempts.get(1), Outcome.ERROR);
+    assertEquals(3, valuable.attempts.size());
   }
 
   @Example
-  void aNonIdempotentThatMayHaveRunIsErroredAtOnce() {
-    ScriptedFleet.Taken taken = fleet.take(3, 42, 2000);
-    fleet.end(taken.outs.get(0), Outcome.RESET);
-    assertEquals("errored", taken.answer);
+  void nonIdempotentInvocationThatMayHaveRunFailsAtOnce() {
+    ScriptedFleet.ClientInvocation invocation = fleet.submit(3, 42, 2000);
+    fleet.endAttempt(invocation.attempts.get(0), Outcome.RESET);
+    assertEquals("errored", invocation.answer);
   }
 
   /**
@@ -122,21 +125,21 @@
    * everything fails and is retried.
    */
   @Example
-  void failuresDoNotWidenTheColdBudget() {
-    fleet.list(fleet.entry(102, HostEntry.State.READY, fleet.now().micros()));
+  void failuresDoNotRaiseTheSlowStartBudget() {
+    fleet.updateHost(fleet.entry(102, HostEntry.State.READY, fleet.now().micros()));
     for (int i = 0; i < 200; i++) {
-      ScriptedFleet.Taken taken = fleet.take(0, i, 2000);
-      while (taken.answer == null
-          && !taken.outs.isEmpty()
-          && taken.outs.get(taken.outs.size() - 1).outcome == null) {
-        fleet.end(taken.outs.get(taken.outs.size() - 1), Outcome.ERROR, 4);
+      ScriptedFleet.ClientInvocation invocation = fleet.submit(0, i, 2000);
+      while (invocation.answer == null
+          && !invocation.attempts.isEmpty()
+          && invocation.attempts.get(invocation.attempts.size() - 1).outcome == null) {
+        fleet.endAttempt(invocation.attempts.get(invocation.attempts.size() - 1), Outcome.ERROR, 4);
       }
-      fleet.pass(4);
+      fleet.advance(4);
     }
     assertTrue(
-        fleet.invs.values().stream()
-                .flatMap(taken -> taken.outs.stream())
-                .filter(out -> out.host == 102)
+        fleet.invocations.values().stream()
+                .flatMap(invocation -> invocation.attempts.stream())
+                .filter(attempt -> attempt.host == 102)
                 .count()
             <= 1);
   }
@@ -146,22 +149,22 @@
    * overloaded it.
    */
   @Example
-  void partsUnderOneDispatchAddUpOverManyGateways() {
+  void slowStartHoldsWhereEachShareIsBelowOneAttempt() {
     long sent = 0;
     for (int gateway = 0; gateway < 200; gateway++) {
-      ScriptedFleet one = new ScriptedFleet(ScriptedFleet.facts(true, true, 200), 5);
+      ScriptedFleet one = new ScriptedFleet(ScriptedFleet.deployment(true, true, 200), 5);
       for (int i = 0; i < 20; i++) {
-        one.end(one.take(0, i, 2000).outs.get(0), Outcome.OK);
-        one.pass(500);
+        one.endAttempt(one.submit(0, i, 2000).attempts.get(0), Outcome.OK);
+        one.advance(500);
       }
-      one.list(one.entry(102, HostEntry.State.READY, one.now().micros()));
+      one.updateHost(one.entry(102, HostEntry.State.READY, one.now().micros()));
       for (int i = 0; i < 20; i++) {
-        one.take(0, i, 2000);
+        one.submit(0, i, 2000);
       }
       sent +=
-          one.invs.values().stream()
-              .flatMap(inv -> inv.outs.stream())
-              .filter(out -> out.outcome == null && out.host == 102)
+          one.invocations.values().stream()
+              .flatMap(invocation -> invocation.attempts.stream())
+              .filter(attempt -> attempt.outcome == null && attempt.host == 102)
               .count();
     }
     assertTrue(sent < 40, "attempts sent at the same time: " + sent);
@@ -172,19 +175,22 @@
    * answers, and starting hosts stayed idle during a deployment.
    */
   @Example
-  void aLullDoesNotNarrowTheColdBudget() {
+  void fewAnswersDoNotLowerTheSlowStartBudget() {
     for (int i = 0; i < 300; i++) {
-      fleet.end(fleet.take(0, i % 20, 2000).outs.get(0), Outcome.OK);
-      fleet.pass(10);
+      fleet.endAttempt(fleet.submit(0, i % 20, 2000).attempts.get(0), Outcome.OK);
+      fleet.advance(10);
     }
-    fleet.pass(30_000);
-    fleet.list(fleet.entry(102, HostEntry.State.READY, fleet.now().micros()));
+    fleet.advance(30_000);
+    fleet.updateHost(fleet.entry(102, HostEntry.State.READY, fleet.now().micros()));
     for (int i = 0; i < 40; i++) {
-      fleet.end(fleet.take(0, i, 2000).outs.get(0), Outcome.OK);
-      fleet.pass(100);
+      fleet.endAttempt(fleet.submit(0, i, 2000).attempts.get(0), Outcome.OK);
+      fleet.advance(100);
     }
     assertTrue(
-        fleet.invs.values().stream().skip(300).filter(inv -> inv.outs.get(0).host == 102).count()
+        fleet.invocations.values().stream()
+                .skip(300)
+                .filter(invocation -> invocation.attempts.get(0).host == 102)
+                .count()
             > 1);
   }
 
@@ -193,15 +199,19 @@
    * them together overloaded.
    */
   @Example
-  void aToldCrowdSpreadsAFunctionWithFewOwnInFlight() {
-    ScriptedFleet told = new ScriptedFleet(ScriptedFleet.facts(true, true, 200), 5);
+  void reportedConcurrencySpreadsAFunctionWithFewOwnAttempts() {
+    ScriptedFleet oneOfMany = new ScriptedFleet(ScriptedFleet.deployment(true, true, 200), 5);
     for (int i = 0; i < 40; i++) {
-      ScriptedFleet.Taken taken = told.take(0, 42, 2000);
-      told.pass(300);
-      told.end(taken.outs.get(0), Outcome.OK, 1 + 8 * 12);
+      ScriptedFleet.ClientInvocation invocation = oneOfMany.submit(0, 42, 2000);
+      oneOfMany.advance(300);
+      oneOfMany.endAttempt(invocation.attempts.get(0), Outcome.OK, 1 + 8 * 12);
     }
     assertTrue(
-        told.invs.values().stream().map(inv -> inv.outs.get(0).host).distinct().count() >= 4);
+        oneOfMany.invocations.values().stream()
+                .map(invocation -> invocation.attempts.get(0).host)
+                .distinct()
+                .count()
+            >= 4);
   }
 
   /**
@@ -209,31 +219,36 @@
    * of it. An unknown message is ignored.
    */
   @Example
-  void aSpreadIsToldAndHeard() {
-    ScriptedFleet first = new ScriptedFleet(ScriptedFleet.facts(true, true, 200), 5);
-    ScriptedFleet second = new ScriptedFleet(ScriptedFleet.facts(true, true, 200), 5);
+  void replicaTargetIsGossipedAndApplied() {
+    ScriptedFleet first = new ScriptedFleet(ScriptedFleet.deployment(true, true, 200), 5);
+    ScriptedFleet second = new ScriptedFleet(ScriptedFleet.deployment(true, true, 200), 5);
     for (int i = 0; i < 4; i++) {
-      first.end(first.take(0, 42, 2000).outs.get(0), Outcome.OK, 1 + 8 * 20);
+      first.endAttempt(first.submit(0, 42, 2000).attempts.get(0), Outcome.OK, 1 + 8 * 20);
     }
-    first.pass(1000);
+    first.advance(1000);
     second.scheduler.gossipReceived(7, new byte[] {9, 1, 2});
-    second.scheduler.gossipReceived(7, first.told.get(0));
+    second.scheduler.gossipReceived(7, first.gossipSent.get(0));
     for (int i = 0; i < 20; i++) {
-      second.end(second.take(0, 42, 2000).outs.get(0), Outcome.OK, 1 + 8 * 2);
+      second.endAttempt(second.submit(0, 42, 2000).attempts.get(0), Outcome.OK, 1 + 8 * 2);
     }
     assertTrue(
-        second.invs.values().stream().map(inv -> inv.outs.get(0).host).distinct().count() >= 3);
+        second.invocations.values().stream()
+                .map(invocation -> invocation.attempts.get(0).host)
+                .distinct()
+                .count()
+            >= 3);
   }
 
   /** A restarted host has no function loaded, so the hash walk decides again. */
   @Example
-  void aRestartVoidsTheMarks() {
-    ScriptedFleet.Taken first = fleet.take(0, 42, 2000);
-    fleet.end(first.outs.get(0), Outcome.FULL);
-    fleet.end(first.outs.get(1), Outcome.OK);
-    fleet.pass(1100);
-    fleet.list(fleet.entry(first.outs.get(1).host, HostEntry.State.READY, fleet.now().micros()));
-    assertEquals(first.outs.get(0).host, fleet.take(0, 42, 2000).outs.get(0).host);
+  void restartVoidsTheEstimates() {
+    ScriptedFleet.ClientInvocation first = fleet.submit(0, 42, 2000);
+    fleet.endAttempt(first.attempts.get(0), Outcome.FULL);
+    fleet.endAttempt(first.attempts.get(1), Outcome.OK);
+    fleet.advance(1100);
+    fleet.updateHost(
+        fleet.entry(first.attempts.get(1).host, HostEntry.State.READY, fleet.now().micros()));
+    assertEquals(first.attempts.get(0).host, fleet.submit(0, 42, 2000).attempts.get(0).host);
   }
 
   /**
@@ -241,14 +256,14 @@
    * the next host of the walk instead.
    */
   @Example
-  void noOrderPastTheRation() {
-    ScriptedFleet miss = new ScriptedFleet(ScriptedFleet.facts(false, true, 1), 5);
-    ScriptedFleet.Taken first = miss.take(1, 42, 2000);
-    ScriptedFleet.Taken second = miss.take(1, 43, 2000);
-    miss.end(first.outs.get(0), Outcome.MISS);
-    miss.end(second.outs.get(0), Outcome.MISS);
-    assertEquals(1, miss.orders.size());
-    assertEquals(2, second.outs.size());
+  void noLoadOrderBeyondTheRateLimit() {
+    ScriptedFleet miss = new ScriptedFleet(ScriptedFleet.deployment(false, true, 1), 5);
+    ScriptedFleet.ClientInvocation first = miss.submit(1, 42, 2000);
+    ScriptedFleet.ClientInvocation second = miss.submit(1, 43, 2000);
+    miss.endAttempt(first.attempts.get(0), Outcome.MISS);
+    miss.endAttempt(second.attempts.get(0), Outcome.MISS);
+    assertEquals(1, miss.loadOrders.size());
+    assertEquals(2, second.attempts.size());
   }
 
   /**
@@ -256,38 +271,38 @@
    * blocked all other loads.
    */
   @Example
-  void loadsOnASilentHostDoNotHoldUpOthers() {
+  void loadsOnASilentHostDoNotBlockOthers() {
     for (int i = 0; i < 16; i++) {
-      ScriptedFleet.Taken taken = fleet.take(0, i, 6000);
-      if (taken.outs.get(0).host != 101) {
-        fleet.end(taken.outs.get(0), Outcome.OK);
+      ScriptedFleet.ClientInvocation invocation = fleet.submit(0, i, 6000);
+      if (invocation.attempts.get(0).host != 101) {
+        fleet.endAttempt(invocation.attempts.get(0), Outcome.OK);
       }
     }
     for (int i = 16; i < 40; i++) {
-      fleet.pass(100);
-      ScriptedFleet.Taken taken = fleet.take(0, i, 6000);
-      if (!taken.outs.isEmpty() && taken.outs.get(0).host != 101) {
-        fleet.end(taken.outs.get(0), Outcome.FULL);
-        fleet.out.stream()
-            .filter(out -> out.host != 101)
+      fleet.advance(100);
+      ScriptedFleet.ClientInvocation invocation = fleet.submit(0, i, 6000);
+      if (!invocation.attempts.isEmpty() && invocation.attempts.get(0).host != 101) {
+        fleet.endAttempt(invocation.attempts.get(0), Outcome.FULL);
+        fleet.inFlight.stream()
+            .filter(attempt -> attempt.host != 101)
             .toList()
-            .forEach(out -> fleet.end(out, Outcome.OK));
+            .forEach(attempt -> fleet.endAttempt(attempt, Outcome.OK));
       }
     }
-    fleet.pass(2000);
-    assertEquals(1, fleet.take(0, 999, 6000).outs.size());
+    fleet.advance(2000);
+    assertEquals(1, fleet.submit(0, 999, 6000).attempts.size());
   }
 
   /**
    * A silent host is ejected, and its invocations are also sent elsewhere where rule 2 allows it.
    */
   @Example
-  void aSilentHostLosesItsInvocations() {
-    long home = served(fleet, 0, 42).outs.get(0).host;
-    ScriptedFleet.Taken stuck = fleet.take(0, 42, 2900);
-    fleet.pass(1500);
-    assertEquals(2, stuck.outs.size());
-    assertNotEquals(home, stuck.outs.get(1).host);
+  void invocationsOfASilentHostAreHedged() {
+    long home = submitAndServe(fleet, 0, 42).attempts.get(0).host;
+    ScriptedFleet.ClientInvocation stuck = fleet.submit(0, 42, 2900);
+    fleet.advance(1500);
+    assertEquals(2, stuck.attempts.size());
+    assertNotEquals(home, stuck.attempts.get(1).host);
   }
 
   /**
@@ -295,13 +310,13 @@
    * silent, and its invocations were cancelled and failed.
    */
   @Example
-  void oneSlowAnswerIsNotSilenceWhereItWouldBeCalledBack() {
-    ScriptedFleet alone = new ScriptedFleet(ScriptedFleet.facts(true, false, 2), 5);
-    ScriptedFleet.Taken slow = alone.take(2, 42, 2900);
-    alone.pass(1500);
-    assertEquals(null, slow.outs.get(0).outcome);
-    assertEquals(1, slow.outs.size());
-    alone.end(slow.outs.get(0), Outcome.OK);
+  void oneSlowAnswerIsNotSilenceWithoutHedging() {
+    ScriptedFleet withoutHedging = new ScriptedFleet(ScriptedFleet.deployment(true, false, 2), 5);
+    ScriptedFleet.ClientInvocation slow = withoutHedging.submit(2, 42, 2900);
+    withoutHedging.advance(1500);
+    assertEquals(null, slow.attempts.get(0).outcome);
+    assertEquals(1, slow.attempts.size());
+    withoutHedging.endAttempt(slow.attempts.get(0), Outcome.OK);
     assertEquals("succeeded", slow.answer);
   }
 
@@ -311,16 +326,19 @@
    * run again.
    */
   @Example
-  void whatWorksForLongIsNotSilence() {
-    ScriptedFleet slow = new ScriptedFleet(ScriptedFleet.facts(true, false, 8, 7000), 3);
-    for (long fn = 1; fn <= 9; fn++) {
-      slow.take((int) fn % 3, fn, 27_000);
+  void longRunningInvocationsAreNotSilence() {
+    ScriptedFleet slow = new ScriptedFleet(ScriptedFleet.deployment(true, false, 8, 7000), 3);
+    for (long function = 1; function <= 9; function++) {
+      slow.submit((int) function % 3, function, 27_000);
     }
-    slow.pass(5000);
-    assertEquals(9, slow.out.size());
-    assertTrue(slow.out.stream().allMatch(out -> out.outcome == null), "an attempt was cancelled");
-    slow.pass(25_000);
-    assertTrue(slow.invs.values().stream().allMatch(taken -> taken.answer != null));
+    slow.advance(5000);
+    assertEquals(9, slow.inFlight.size());
+    assertTrue(
+        slow.inFlight.stream().allMatch(attempt -> attempt.outcome == null),
+        "an attempt was cancelled");
+    slow.advance(25_000);
+    assertTrue(
+        slow.invocations.values().stream().allMatch(invocation -> invocation.answer != null));
   }
 
   /**
@@ -328,11 +346,11 @@
    * before their client's timeout.
    */
   @Example
-  void aHopelessInvocationIsAnsweredAtOnce() {
-    drainAll();
-    ScriptedFleet.Taken taken = fleet.take(1, 42, 3000);
-    fleet.pass(1020);
-    assertEquals("throttled", taken.answer);
+  void invocationThatCannotBeInTimeIsAnsweredAtOnce() {
+    drainAllHosts();
+    ScriptedFleet.ClientInvocation invocation = fleet.submit(1, 42, 3000);
+    fleet.advance(1020);
+    assertEquals("throttled", invocation.answer);
   }
 
   /**
@@ -340,10 +358,10 @@
    * answer was of no use to its client.
    */
   @Example
-  void littleTimeLeftIsHeldForLess() {
-    drainAll();
-    ScriptedFleet.Taken taken = fleet.take(1, 42, 400);
-    fleet.pass(180);
-    assertEquals("throttled", taken.answer);
+  void littleTimeLeftShortensTheTimeInTheQueue() {
+    drainAllHosts();
+    ScriptedFleet.ClientInvocation invocation = fleet.submit(1, 42, 400);
+    fleet.advance(180);
+    assertEquals("throttled", invocation.answer);
   }
 }
--- a/src/test/java/flintlead/scheduling/SchedulerRulesTest.java
+++ b/src/test/java/flintlead/scheduling/SchedulerRulesTest.java
@@ -17,19 +17,19 @@
   @Property(tries = 100, seed = "4711")
   void keepsTheRulesWhereAHostLoadsByItself(
       @ForAll @Size(min = 100, max = 500) List<@IntRange(min = 0, max = 999_999) Integer> steps) {
-    play(new ScriptedFleet(ScriptedFleet.facts(true, false, 2), 5), steps);
+    runSteps(new ScriptedFleet(ScriptedFleet.deployment(true, false, 2), 5), steps);
   }
 
   @Property(tries = 100, seed = "4712")
-  void keepsTheRulesWithSecondCopies(
+  void keepsTheRulesWithHedging(
       @ForAll @Size(min = 100, max = 500) List<@IntRange(min = 0, max = 999_999) Integer> steps) {
-    play(new ScriptedFleet(ScriptedFleet.facts(true, true, 3), 4), steps);
+    runSteps(new ScriptedFleet(ScriptedFleet.deployment(true, true, 3), 4), steps);
   }
 
   @Property(tries = 100, seed = "4713")
-  void keepsTheRulesWhereOnlyOrdersLoad(
+  void keepsTheRulesWhereOnlyLoadOrdersLoad(
       @ForAll @Size(min = 100, max = 500) List<@IntRange(min = 0, max = 999_999) Integer> steps) {
-    play(new ScriptedFleet(ScriptedFleet.facts(false, true, 1), 5), steps);
+    runSteps(new ScriptedFleet(ScriptedFleet.deployment(false, true, 1), 5), steps);
   }
 
   /**
@@ -37,50 +37,57 @@
    * attempt leaves the pool of its invocation.
    */
   @Property(tries = 100, seed = "4714")
-  void keepsToPools(
+  void attemptsStayWithinTheirPool(
       @ForAll @Size(min = 100, max = 500) List<@IntRange(min = 0, max = 999_999) Integer> steps) {
     ScriptedFleet fleet =
-        new ScriptedFleet(ScriptedFleet.facts(steps.get(0) % 2 == 0, steps.get(0) % 3 == 0, 2), 6);
+        new ScriptedFleet(
+            ScriptedFleet.deployment(steps.get(0) % 2 == 0, steps.get(0) % 3 == 0, 2), 6);
     for (long host : fleet.listed.keySet()) {
       fleet.pools.put(host, 1L << host % 3 | (host % 2 == 0 ? 1L << (host + 1) % 3 : 0));
     }
     List.copyOf(fleet.listed.values())
-        .forEach(each -> fleet.list(fleet.entry(each.host(), each.state(), 0)));
-    play(fleet, steps.subList(0, steps.size() / 2));
+        .forEach(each -> fleet.updateHost(fleet.entry(each.host(), each.state(), 0)));
+    runSteps(fleet, steps.subList(0, steps.size() / 2));
     fleet.pools.replaceAll(
         (host, bits) -> bits == 7 ? bits : Long.rotateLeft(bits, 1) & 7 | 1L << host % 3);
     List.copyOf(fleet.listed.values())
         .forEach(
-            each -> fleet.list(fleet.entry(each.host(), each.state(), each.startedAt().micros())));
-    play(fleet, steps.subList(steps.size() / 2, steps.size()));
+            each ->
+                fleet.updateHost(
+                    fleet.entry(each.host(), each.state(), each.startedAt().micros())));
+    runSteps(fleet, steps.subList(steps.size() / 2, steps.size()));
   }
 
-  private static void play(ScriptedFleet fleet, List<Integer> steps) {
+  private static void runSteps(ScriptedFleet fleet, List<Integer> steps) {
     for (int step : steps) {
-      int which = step % 20;
+      int action = step % 20;
       int detail = step / 20;
-      if (which < 7) {
-        fleet.take(detail % 4, detail / 4 % 6, 300 + detail % 3000);
-      } else if (which < 12 && !fleet.out.isEmpty()) {
-        fleet.end(fleet.out.get(detail % fleet.out.size()), Outcome.OK, 1 + detail % 3);
-      } else if (which < 14 && !fleet.out.isEmpty()) {
+      if (action < 7) {
+        fleet.submit(detail % 4, detail / 4 % 6, 300 + detail % 3000);
+      } else if (action < 12 && !fleet.inFlight.isEmpty()) {
+        fleet.endAttempt(
+            fleet.inFlight.get(detail % fleet.inFlight.size()), Outcome.OK, 1 + detail % 3);
+      } else if (action < 14 && !fleet.inFlight.isEmpty()) {
         int remark = detail % 5 == 0 ? 4 : 0;
-        fleet.end(fleet.out.get(detail % fleet.out.size()), OUTCOMES[1 + detail / 7 % 8], remark);
-      } else if (which == 14 && !fleet.orders.isEmpty()) {
-        fleet.answerOrder(detail % 3 == 0 ? Outcome.FULL : Outcome.OK);
-      } else if (which == 15) {
+        fleet.endAttempt(
+            fleet.inFlight.get(detail % fleet.inFlight.size()),
+            OUTCOMES[1 + detail / 7 % 8],
+            remark);
+      } else if (action == 14 && !fleet.loadOrders.isEmpty()) {
+        fleet.completeLoadOrder(detail % 3 == 0 ? Outcome.FULL : Outcome.OK);
+      } else if (action == 15) {
         var hosts = new ArrayList<>(fleet.listed.keySet());
         HostEntry.State state = HostEntry.State.values()[detail % 3];
         long host = hosts.get(detail / 3 % hosts.size());
         boolean restarted = detail % 2 == 0 && state == HostEntry.State.READY;
         long start = restarted ? fleet.now().micros() : fleet.listed.get(host).startedAt().micros();
-        fleet.list(fleet.entry(host, state, start));
-      } else if (which == 16 && !fleet.invs.isEmpty() && detail % 4 == 0) {
-        fleet.hangUp(fleet.invs.get((long) (detail % fleet.invs.size())));
+        fleet.updateHost(fleet.entry(host, state, start));
+      } else if (action == 16 && !fleet.invocations.isEmpty() && detail % 4 == 0) {
+        fleet.disconnectClient(fleet.invocations.get((long) (detail % fleet.invocations.size())));
       } else {
-        fleet.pass(detail % 40 == 0 ? 1000 : detail % 60);
+        fleet.advance(detail % 40 == 0 ? 1000 : detail % 60);
       }
     }
-    fleet.pass(4000);
+    fleet.advance(4000);
   }
 }
--- a/src/test/java/flintlead/scheduling/ScriptedFleet.java
+++ b/src/test/java/flintlead/scheduling/ScriptedFleet.java
@@ -37,33 +37,33 @@
   static final float[] NO_REPORT = {};
 
   /** One attempt as the fleet received it. */
-  static final class Out {
-    final long inv;
+  static final class SentAttempt {
+    final long invocation;
     final int number;
     final long host;
-    final Moment at;
+    final Moment sentAt;
     Outcome outcome;
 
-    Out(long inv, int number, long host, Moment at) {
-      this.inv = inv;
+    SentAttempt(long invocation, int number, long host, Moment sentAt) {
+      this.invocation = invocation;
       this.number = number;
       this.host = host;
-      this.at = at;
+      this.sentAt = sentAt;
     }
   }
 
   /** One submitted invocation as its client sees it. */
-  static final class Taken {
+  static final class ClientInvocation {
     int pool;
     int type;
     Moment deadline;
     InvocationHandle handle;
     String answer;
-    final List<Out> outs = new ArrayList<>();
+    final List<SentAttempt> attempts = new ArrayList<>();
 
-    Out firstThatMayHaveRun() {
-      return outs.stream()
-          .filter(out -> out.outcome == null || out.outcome.mayHaveRun())
+    SentAttempt firstThatMayHaveRun() {
+      return attempts.stream()
+          .filter(attempt -> attempt.outcome == null || attempt.outcome.mayHaveRun())
           .findFirst()
           .orElse(null);
     }
@@ -71,48 +71,48 @@
 
   private record Timer(Moment when, int order, Runnable then) {}
 
-  final Deployment facts;
+  final Deployment deployment;
   final Scheduler scheduler;
-  final Map<Long, Taken> invs = new TreeMap<>();
-  final List<Out> out = new ArrayList<>();
-  final List<long[]> orders = new ArrayList<>();
-  final List<byte[]> told = new ArrayList<>();
+  final Map<Long, ClientInvocation> invocations = new TreeMap<>();
+  final List<SentAttempt> inFlight = new ArrayList<>();
+  final List<long[]> loadOrders = new ArrayList<>();
+  final List<byte[]> gossipSent = new ArrayList<>();
   final Map<Long, HostEntry> listed = new TreeMap<>();
 
   /** The pools of each host, one bit per pool; empty for a fleet without pools. */
   final Map<Long, Long> pools = new TreeMap<>();
 
-  private final Map<Long, Moment> closedAt = new HashMap<>();
-  private final Map<Long, List<Moment>> sentTo = new HashMap<>();
-  private final List<Moment> takenAt = new ArrayList<>();
-  private final List<Moment> orderedAt = new ArrayList<>();
-  private final List<Moment> okAt = new ArrayList<>();
+  private final Map<Long, Moment> notReadySince = new HashMap<>();
+  private final Map<Long, List<Moment>> attemptTimes = new HashMap<>();
+  private final List<Moment> submitTimes = new ArrayList<>();
+  private final List<Moment> loadOrderTimes = new ArrayList<>();
+  private final List<Moment> successTimes = new ArrayList<>();
   private final PriorityQueue<Timer> timers =
       new PriorityQueue<>(Comparator.comparing(Timer::when).thenComparing(Timer::order));
   private int timerCount;
-  private long nextInv;
+  private long nextInvocation;
   private Moment now;
 
-  ScriptedFleet(Deployment facts, int hosts) {
-    this(facts, hosts, new Moment(1_000_000_000));
+  ScriptedFleet(Deployment deployment, int hosts) {
+    this(deployment, hosts, new Moment(1_000_000_000));
   }
 
-  ScriptedFleet(Deployment facts, int hosts, Moment now) {
-    this.facts = facts;
+  ScriptedFleet(Deployment deployment, int hosts, Moment now) {
+    this.deployment = deployment;
     this.now = now;
-    this.scheduler = new Scheduler(this, facts, 7);
+    this.scheduler = new Scheduler(this, deployment, 7);
     for (int i = 0; i < hosts; i++) {
       listed.put(100L + i, entry(100 + i, HostEntry.State.READY, 0));
     }
     scheduler.replaceHosts(new ArrayList<>(listed.values()));
   }
 
-  static Deployment facts(boolean loadsWhenAbsent, boolean secondCopies, int gateways) {
-    return facts(loadsWhenAbsent, secondCopies, gateways, 1000);
+  static Deployment deployment(boolean hostLoadsOnMiss, boolean supportsHedging, int gateways) {
+    return deployment(hostLoadsOnMiss, supportsHedging, gateways, 1000);
   }
 
-  static Deployment facts(
-      boolean loadsWhenAbsent, boolean secondCopies, int gateways, double objective) {
+  static Deployment deployment(
+      boolean hostLoadsOnMiss, boolean supportsHedging, int gateways, double objective) {
     List<TriggerType> types =
         List.of(
             type(objective, 3, Effect.IDEMPOTENT, Group.ALL),
@@ -135,12 +135,12 @@
         Span.ofMillis(1500),
         3,
         true,
-        secondCopies,
+        supportsHedging,
         true,
         true,
         true,
         Span.ofMillis(500),
-        loadsWhenAbsent,
+        hostLoadsOnMiss,
         true,
         true,
         true,
@@ -168,21 +168,21 @@
 
   // ---- events of the script ----
 
-  Taken take(int type, long fn, double millisLeft) {
-    Taken taken = new Taken();
-    taken.type = type;
-    taken.deadline = now.plus(Span.ofMillis(millisLeft));
-    long id = nextInv++;
-    invs.put(id, taken);
-    takenAt.add(now);
-    taken.pool = pools.isEmpty() ? 0 : (int) (id % 3);
-    taken.handle =
+  ClientInvocation submit(int type, long function, double millisLeft) {
+    ClientInvocation submitted = new ClientInvocation();
+    submitted.type = type;
+    submitted.deadline = now.plus(Span.ofMillis(millisLeft));
+    long id = nextInvocation++;
+    invocations.put(id, submitted);
+    submitTimes.add(now);
+    submitted.pool = pools.isEmpty() ? 0 : (int) (id % 3);
+    submitted.handle =
         scheduler.submit(
             id,
             new InvocationSpec(
                 type,
                 0,
-                fn,
+                function,
                 Span.ofMillis(millisLeft),
                 Span.ZERO,
                 false,
@@ -190,89 +190,98 @@
                 1,
                 Span.ofMillis(600),
                 false,
-                taken.pool));
-    return taken;
+                submitted.pool));
+    return submitted;
   }
 
-  void end(Out dispatch, Outcome outcome) {
-    end(dispatch, outcome, outcome == Outcome.OK ? 1 : 0);
+  void endAttempt(SentAttempt attempt, Outcome outcome) {
+    endAttempt(attempt, outcome, outcome == Outcome.OK ? 1 : 0);
   }
 
-  void end(Out dispatch, Outcome outcome, int remark) {
-    out.remove(dispatch);
-    dispatch.outcome = outcome;
-    Taken taken = invs.get(dispatch.inv);
-    if (outcome == Outcome.OK && taken.answer == null) {
-      taken.answer = "succeeded";
+  void endAttempt(SentAttempt attempt, Outcome outcome, int remark) {
+    inFlight.remove(attempt);
+    attempt.outcome = outcome;
+    ClientInvocation submitted = invocations.get(attempt.invocation);
+    if (outcome == Outcome.OK && submitted.answer == null) {
+      submitted.answer = "succeeded";
     }
     if (outcome == Outcome.OK) {
-      okAt.add(now);
+      successTimes.add(now);
     }
-    taken.handle.attemptEnded(
-        dispatch.number, outcome, now.since(dispatch.at), taken.answer != null, remark, NO_REPORT);
+    submitted.handle.attemptEnded(
+        attempt.number,
+        outcome,
+        now.since(attempt.sentAt),
+        submitted.answer != null,
+        remark,
+        NO_REPORT);
   }
 
-  void hangUp(Taken taken) {
-    if (taken.answer == null) {
-      taken.answer = "disconnected";
+  void disconnectClient(ClientInvocation submitted) {
+    if (submitted.answer == null) {
+      submitted.answer = "disconnected";
     }
-    taken.handle.clientDisconnected();
+    submitted.handle.clientDisconnected();
   }
 
-  void list(HostEntry entry) {
+  void updateHost(HostEntry entry) {
     HostEntry before = listed.put(entry.host(), entry);
     if (before != null && entry.startedAt().isAfter(before.startedAt())) {
-      sentTo.remove(entry.host());
+      attemptTimes.remove(entry.host());
     }
     if (entry.state() == HostEntry.State.READY) {
-      closedAt.remove(entry.host());
+      notReadySince.remove(entry.host());
     } else {
-      closedAt.putIfAbsent(entry.host(), now);
+      notReadySince.putIfAbsent(entry.host(), now);
     }
     scheduler.updateHosts(List.of(entry));
   }
 
-  void answerOrder(Outcome outcome) {
-    long[] order = orders.remove(0);
+  void completeLoadOrder(Outcome outcome) {
+    long[] order = loadOrders.remove(0);
     scheduler.loadCompleted(
         order[0], order[1], outcome, Span.ofMillis(600), outcome == Outcome.OK ? 1 : 0);
   }
 
   /** Drops the recorded events, so that only the scheduler's own state can grow. */
-  void forgetPast(long... hosts) {
-    forgetAnswered();
-    takenAt.clear();
-    okAt.subList(0, Math.max(0, okAt.size() - 100)).clear();
-    sentTo.values().forEach(sent -> sent.subList(0, Math.max(0, sent.size() - 10)).clear());
+  void clearHistory(long... hosts) {
+    removeAnswered();
+    submitTimes.clear();
+    successTimes.subList(0, Math.max(0, successTimes.size() - 100)).clear();
+    attemptTimes.values().forEach(sent -> sent.subList(0, Math.max(0, sent.size() - 10)).clear());
     for (long host : hosts) {
       listed.remove(host);
-      closedAt.remove(host);
-      sentTo.remove(host);
+      notReadySince.remove(host);
+      attemptTimes.remove(host);
     }
   }
 
-  void forgetAnswered() {
-    invs.values()
+  void removeAnswered() {
+    invocations
+        .values()
         .removeIf(
-            taken -> taken.answer != null && taken.outs.stream().allMatch(o -> o.outcome != null));
+            submitted ->
+                submitted.answer != null
+                    && submitted.attempts.stream().allMatch(o -> o.outcome != null));
   }
 
   /** Advances the clock, runs due timers, and times out attempts at their client's timeout. */
-  void pass(double millis) {
+  void advance(double millis) {
     Moment until = now.plus(Span.ofMillis(millis));
     while (now.isBefore(until)) {
-      now = Moment.earlier(until, now.plus(facts.tick()));
+      now = Moment.earlier(until, now.plus(deployment.tick()));
       while (!timers.isEmpty() && !timers.peek().when().isAfter(now)) {
         timers.poll().then().run();
       }
-      for (Out late : List.copyOf(out)) {
-        if (late.outcome == null && now.isAfter(invs.get(late.inv).deadline)) {
-          end(late, Outcome.TIMEOUT);
+      for (SentAttempt expired : List.copyOf(inFlight)) {
+        if (expired.outcome == null && now.isAfter(invocations.get(expired.invocation).deadline)) {
+          endAttempt(expired, Outcome.TIMEOUT);
         }
       }
-      for (Taken taken : invs.values()) {
+      for (ClientInvocation submitted : invocations.values()) {
         assertFalse(
-            taken.answer == null && now.isAfter(taken.deadline.plus(facts.answerSlack())),
+            submitted.answer == null
+                && now.isAfter(submitted.deadline.plus(deployment.answerSlack())),
             "rule 1: no answer within the client's timeout");
       }
     }
@@ -287,53 +296,55 @@
 
   @Override
   public void dispatch(long invocation, long host, Moment abandonAt) {
-    Taken taken = invs.get(invocation);
-    assertTrue(listed.get(host).serves(taken.pool), "an attempt outside its pool");
-    assertTrue(taken.answer == null, "rule 1: an attempt after the final answer");
+    ClientInvocation submitted = invocations.get(invocation);
+    assertTrue(listed.get(host).serves(submitted.pool), "an attempt outside its pool");
+    assertTrue(submitted.answer == null, "rule 1: an attempt after the final answer");
     assertNotNull(listed.get(host));
-    assertFalse(closedAt.containsKey(host), "rule 3: an attempt at a host that is not ready");
-    assertTrue(taken.outs.size() < facts.attemptLimit(), "more attempts than the limit");
-    TriggerType type = facts.triggerTypes().get(taken.type);
-    Out first = taken.firstThatMayHaveRun();
+    assertFalse(notReadySince.containsKey(host), "rule 3: an attempt at a host that is not ready");
+    assertTrue(
+        submitted.attempts.size() < deployment.attemptLimit(), "more attempts than the limit");
+    TriggerType type = deployment.triggerTypes().get(submitted.type);
+    SentAttempt first = submitted.firstThatMayHaveRun();
     if (first != null) {
       assertFalse(
           type.effect() == Effect.NON_IDEMPOTENT, "rule 2: a non-idempotent invocation repeated");
-      boolean anyOut = taken.outs.stream().anyMatch(each -> each.outcome == null);
+      boolean anyInFlight = submitted.attempts.stream().anyMatch(each -> each.outcome == null);
       assertTrue(
-          facts.supportsHedging() || !anyOut, "rule 2: two attempts in flight without hedging");
+          deployment.supportsHedging() || !anyInFlight,
+          "rule 2: two attempts in flight without hedging");
       if (type.effect() == Effect.TOKENED) {
         assertTrue(
-            now.since(first.at).isShorterThan(type.window()),
+            now.since(first.sentAt).isShorterThan(type.window()),
             "rule 2: repeated after the idempotency window");
         assertTrue(
             type.group() == Group.ALL || listed.get(first.host).cell() == listed.get(host).cell(),
             "rule 2: repeated outside the group");
       }
     }
-    List<Moment> sent = sentTo.computeIfAbsent(host, any -> new ArrayList<>());
+    List<Moment> sent = attemptTimes.computeIfAbsent(host, any -> new ArrayList<>());
     sent.add(now);
     HostEntry entry = listed.get(host);
     Span age = now.since(entry.startedAt());
-    if (entry.startedAt().micros() > 0 && age.isShorterThan(facts.slowStartDuration())) {
-      double sentCold = recent(sent, facts.overloadWindow());
+    if (entry.startedAt().micros() > 0 && age.isShorterThan(deployment.slowStartDuration())) {
+      double sentInWindow = recent(sent, deployment.overloadWindow());
       long running =
           listed.values().stream().filter(each -> each.state() != HostEntry.State.GONE).count();
-      double part =
-          facts.slowStartFraction()
-              + (1 - facts.slowStartFraction()) * age.over(facts.slowStartDuration());
+      double capacityFraction =
+          deployment.slowStartFraction()
+              + (1 - deployment.slowStartFraction()) * age.over(deployment.slowStartDuration());
       double budget =
-          facts.overloadFactor()
-              * part
-              * okAt.size()
+          deployment.overloadFactor()
+              * capacityFraction
+              * successTimes.size()
               / 8
               / running
-              * facts.overloadWindow().micros()
+              * deployment.overloadWindow().micros()
               / 1e6;
-      assertTrue(sentCold <= 1 + budget, "rule 4: more attempts than the slow-start budget");
+      assertTrue(sentInWindow <= 1 + budget, "rule 4: more attempts than the slow-start budget");
     }
-    Out dispatch = new Out(invocation, taken.outs.size(), host, now);
-    taken.outs.add(dispatch);
-    out.add(dispatch);
+    SentAttempt attempt = new SentAttempt(invocation, submitted.attempts.size(), host, now);
+    submitted.attempts.add(attempt);
+    inFlight.add(attempt);
   }
 
   private double recent(List<Moment> times, Span window) {
@@ -341,52 +352,53 @@
   }
 
   @Override
-  public void cancel(long invocation, int dispatch) {
-    Out cancelled = invs.get(invocation).outs.get(dispatch);
+  public void cancel(long invocation, int attempt) {
+    SentAttempt cancelled = invocations.get(invocation).attempts.get(attempt);
     if (cancelled.outcome == null) {
       schedule(
           now,
           () -> {
             if (cancelled.outcome == null) {
-              end(cancelled, Outcome.CANCELLED);
+              endAttempt(cancelled, Outcome.CANCELLED);
             }
           });
     }
   }
 
   @Override
-  public void throttle(long invocation, Span retryIn) {
-    Taken taken = invs.get(invocation);
-    TriggerType type = facts.triggerTypes().get(taken.type);
-    boolean mayHaveRun = taken.firstThatMayHaveRun() != null;
+  public void throttle(long invocation, Span retryAfter) {
+    ClientInvocation submitted = invocations.get(invocation);
+    TriggerType type = deployment.triggerTypes().get(submitted.type);
+    boolean mayHaveRun = submitted.firstThatMayHaveRun() != null;
     assertFalse(
         mayHaveRun
             && (type.effect() == Effect.NON_IDEMPOTENT
                 || type.effect() == Effect.TOKENED && type.group() != Group.ALL),
         "rule 2: throttled but may have run");
-    answer(taken, "throttled");
+    answer(submitted, "throttled");
   }
 
   @Override
   public void fail(long invocation) {
-    answer(invs.get(invocation), "errored");
+    answer(invocations.get(invocation), "errored");
   }
 
-  private void answer(Taken taken, String answer) {
-    assertEquals(null, taken.answer, "rule 1: a second final answer");
-    taken.answer = answer;
+  private void answer(ClientInvocation submitted, String answer) {
+    assertEquals(null, submitted.answer, "rule 1: a second final answer");
+    submitted.answer = answer;
   }
 
   @Override
-  public void load(long host, long function, int copies) {
-    assertFalse(closedAt.containsKey(host), "rule 3: a load order to a host that is not ready");
-    orderedAt.add(now);
+  public void load(long host, long function, int instances) {
+    assertFalse(
+        notReadySince.containsKey(host), "rule 3: a load order to a host that is not ready");
+    loadOrderTimes.add(now);
     assertTrue(
-        recent(orderedAt, facts.loadOrderWindow())
-            <= facts.loadOrderBurst()
-                + facts.loadOrderShare() * recent(takenAt, facts.loadOrderWindow()),
+        recent(loadOrderTimes, deployment.loadOrderWindow())
+            <= deployment.loadOrderBurst()
+                + deployment.loadOrderShare() * recent(submitTimes, deployment.loadOrderWindow()),
         "rule 5: more load orders than the rate limit");
-    orders.add(new long[] {host, function});
+    loadOrders.add(new long[] {host, function});
   }
 
   @Override
@@ -412,13 +424,14 @@
   public void fetchHosts() {}
 
   @Override
-  public void sendGossip(int gateway, byte[] words) {
-    assertTrue(gateway != facts.index() && gateway < facts.gateways() && words.length <= 256);
-    told.add(words);
+  public void sendGossip(int gateway, byte[] message) {
+    assertTrue(
+        gateway != deployment.index() && gateway < deployment.gateways() && message.length <= 256);
+    gossipSent.add(message);
   }
 
   @Override
-  public void broadcastGossip(byte[] words) {}
+  public void broadcastGossip(byte[] message) {}
 
   @Override
   public void log(String line) {}
--- a/src/test/java/flintlead/scheduling/SlowStartTest.java
+++ b/src/test/java/flintlead/scheduling/SlowStartTest.java
@@ -39,83 +39,91 @@
 
   @ParameterizedTest(name = "{0} gateways, a starting host of weight {1} among hosts of weight {2}")
   @CsvSource({"20,1,1", "30,1,1", "100,1,1", "20,1,6", "30,1,6", "100,1,6", "30,6,1"})
-  void aColdHostHoldsUnderTheSumOfAllGateways(int gateways, double cold, double others) {
-    Deployment facts = ScriptedFleet.facts(true, true, gateways);
+  void startingHostIsNotOverloadedByAllGatewaysTogether(
+      int gateways, double startingWeight, double otherWeight) {
+    Deployment deployment = ScriptedFleet.deployment(true, true, gateways);
     Random random = new Random(11);
     List<ScriptedFleet> fleets = new ArrayList<>();
-    double[] part = new double[gateways];
-    double parts = 0;
+    double[] trafficWeights = new double[gateways];
+    double totalWeight = 0;
     for (int i = 0; i < gateways; i++) {
-      part[i] = i % 5 == 0 ? 4 : 1;
-      parts += part[i];
-      fleets.add(fleet(facts, cold, others));
+      trafficWeights[i] = i % 5 == 0 ? 4 : 1;
+      totalWeight += trafficWeights[i];
+      fleets.add(fleet(deployment, startingWeight, otherWeight));
     }
-    double all = cold + others * (HOSTS - 1);
-    double capacity = RATE / LOAD * cold / all;
+    double totalHostWeight = startingWeight + otherWeight * (HOSTS - 1);
+    double capacity = RATE / LOAD * startingWeight / totalHostWeight;
     Deque<Double> sent = new ArrayDeque<>();
-    double startedAt = 20_000;
-    double window = facts.overloadWindow().micros() / 1e3;
-    double warm = facts.slowStartDuration().micros() / 1e3;
-    for (double at = 0; at < startedAt + warm; at += STEP_MS) {
-      if (at == startedAt) {
+    double startMillis = 20_000;
+    double windowMillis = deployment.overloadWindow().micros() / 1e3;
+    double slowStartMillis = deployment.slowStartDuration().micros() / 1e3;
+    for (double atMillis = 0; atMillis < startMillis + slowStartMillis; atMillis += STEP_MS) {
+      if (atMillis == startMillis) {
         for (int i = 0; i < gateways; i++) {
           // Every seventh gateway starts with its client's first invocation, and learns of the
           // host from its initial host list.
           if (i % 7 == 0) {
-            fleets.set(i, fleet(facts, cold, others, fleets.get(i).now()));
+            fleets.set(i, fleet(deployment, startingWeight, otherWeight, fleets.get(i).now()));
           }
           ScriptedFleet fleet = fleets.get(i);
-          fleet.list(new HostEntry(100, 0, 0, 0, HostEntry.State.READY, fleet.now(), cold));
+          fleet.updateHost(
+              new HostEntry(100, 0, 0, 0, HostEntry.State.READY, fleet.now(), startingWeight));
         }
       }
       for (int i = 0; i < gateways; i++) {
         ScriptedFleet fleet = fleets.get(i);
-        double due = RATE * part[i] / parts * STEP_MS / 1e3;
+        double due = RATE * trafficWeights[i] / totalWeight * STEP_MS / 1e3;
         for (int n = (int) due + (random.nextDouble() < due - (int) due ? 1 : 0); n > 0; n--) {
-          fleet.take(ScriptedFleet.IDEMPOTENT, random.nextInt(FUNCTIONS), 2000);
+          fleet.submit(ScriptedFleet.IDEMPOTENT, random.nextInt(FUNCTIONS), 2000);
         }
-        for (ScriptedFleet.Out out : List.copyOf(fleet.out)) {
-          if (fleet.now().since(out.at).micros() >= ANSWER_MS * 1e3) {
-            fleet.end(out, Outcome.OK);
+        for (ScriptedFleet.SentAttempt attempt : List.copyOf(fleet.inFlight)) {
+          if (fleet.now().since(attempt.sentAt).micros() >= ANSWER_MS * 1e3) {
+            fleet.endAttempt(attempt, Outcome.OK);
           }
         }
-        fleet.pass(STEP_MS);
-        if (at >= startedAt) {
-          for (ScriptedFleet.Out out : fleet.out) {
-            if (out.host == 100 && fleet.now().since(out.at).micros() <= STEP_MS * 1e3) {
-              sent.add(at);
+        fleet.advance(STEP_MS);
+        if (atMillis >= startMillis) {
+          for (ScriptedFleet.SentAttempt attempt : fleet.inFlight) {
+            if (attempt.host == 100
+                && fleet.now().since(attempt.sentAt).micros() <= STEP_MS * 1e3) {
+              sent.add(atMillis);
             }
           }
         }
-        fleet.forgetAnswered();
+        fleet.removeAnswered();
       }
-      while (!sent.isEmpty() && sent.peek() <= at - window) {
+      while (!sent.isEmpty() && sent.peek() <= atMillis - windowMillis) {
         sent.poll();
       }
-      double now =
-          facts.slowStartFraction()
-              + (1 - facts.slowStartFraction()) * Math.max(0, at - startedAt) / warm;
-      double allowed = facts.overloadFactor() * now * capacity * window / 1e3;
-      double most = allowed + 2 * Math.sqrt(allowed) + 2;
+      double capacityFraction =
+          deployment.slowStartFraction()
+              + (1 - deployment.slowStartFraction())
+                  * Math.max(0, atMillis - startMillis)
+                  / slowStartMillis;
+      double allowed =
+          deployment.overloadFactor() * capacityFraction * capacity * windowMillis / 1e3;
+      double limit = allowed + 2 * Math.sqrt(allowed) + 2;
       assertTrue(
-          at < startedAt || sent.size() <= most,
+          atMillis < startMillis || sent.size() <= limit,
           sent.size()
               + " attempts within the window, at most "
-              + most
+              + limit
               + " allowed, "
-              + (at - startedAt)
+              + (atMillis - startMillis)
               + " ms after the start");
     }
   }
 
-  private static ScriptedFleet fleet(Deployment facts, double cold, double others) {
-    return fleet(facts, cold, others, new Moment(1_000_000_000));
+  private static ScriptedFleet fleet(
+      Deployment deployment, double startingWeight, double otherWeight) {
+    return fleet(deployment, startingWeight, otherWeight, new Moment(1_000_000_000));
   }
 
-  private static ScriptedFleet fleet(Deployment facts, double cold, double others, Moment now) {
-    ScriptedFleet fleet = new ScriptedFleet(facts, 0, now);
+  private static ScriptedFleet fleet(
+      Deployment deployment, double startingWeight, double otherWeight, Moment now) {
+    ScriptedFleet fleet = new ScriptedFleet(deployment, 0, now);
     for (int host = 0; host < HOSTS; host++) {
-      fleet.list(
+      fleet.updateHost(
           new HostEntry(
               100 + host,
               0,
@@ -123,7 +131,7 @@
               0,
               HostEntry.State.READY,
               new Moment(0),
-              host == 0 ? cold : others));
+              host == 0 ? startingWeight : otherWeight));
     }
     return fleet;
   }
--- a/src/test/java/flintlead/scheduling/SpillBudgetTest.java
+++ b/src/test/java/flintlead/scheduling/SpillBudgetTest.java
@@ -19,17 +19,18 @@
 
   private static final int HOSTS = 8;
   private static final int FUNCTIONS = 10;
-  private static final int CROWD = 8;
+  private static final int CONCURRENT_INVOCATIONS = 8;
   private static final int ROUNDS = 20;
 
   /** Slow enough that the concurrency limits of the hosts decrease. */
   private static final int SLOW_ANSWER_MILLIS = 450;
 
   private static final long NEW_FUNCTION = 1_000;
-  private static final double SAVED = 10;
-  private static final double SHARE = 0.05;
+  private static final double MAX_SAVED = 10;
+  private static final double SPILLS_PER_ANSWER = 0.05;
 
-  private final ScriptedFleet fleet = new ScriptedFleet(ScriptedFleet.facts(true, true, 1), HOSTS);
+  private final ScriptedFleet fleet =
+      new ScriptedFleet(ScriptedFleet.deployment(true, true, 1), HOSTS);
   private final Map<Long, Set<Long>> hostsByFunction = new HashMap<>();
   private int answers;
 
@@ -37,33 +38,34 @@
    * Answers all attempts, including those that the answers release, and records the hosts of each
    * function.
    */
-  private void answerAll(Map<ScriptedFleet.Taken, Long> functions) {
-    while (!fleet.out.isEmpty()) {
-      ScriptedFleet.Out out = fleet.out.get(0);
-      long function = functions.get(fleet.invs.get(out.inv));
-      hostsByFunction.computeIfAbsent(function, each -> new HashSet<>()).add(out.host);
-      fleet.end(out, Outcome.OK);
+  private void answerAll(Map<ScriptedFleet.ClientInvocation, Long> functions) {
+    while (!fleet.inFlight.isEmpty()) {
+      ScriptedFleet.SentAttempt attempt = fleet.inFlight.get(0);
+      long function = functions.get(fleet.invocations.get(attempt.invocation));
+      hostsByFunction.computeIfAbsent(function, each -> new HashSet<>()).add(attempt.host);
+      fleet.endAttempt(attempt, Outcome.OK);
       answers++;
     }
   }
 
   /** Loads each function at one host, one after another. */
-  private void loadEach(long firstFunction, Map<ScriptedFleet.Taken, Long> functions) {
+  private void loadEach(long firstFunction, Map<ScriptedFleet.ClientInvocation, Long> functions) {
     for (long function = firstFunction; function < firstFunction + FUNCTIONS; function++) {
-      functions.put(fleet.take(0, function, 2000), function);
-      fleet.pass(100);
+      functions.put(fleet.submit(0, function, 2000), function);
+      fleet.advance(100);
       answerAll(functions);
     }
   }
 
   /** Sends concurrent invocations of each function, then answers them all. */
-  private void crowd(long firstFunction, Map<ScriptedFleet.Taken, Long> functions) {
+  private void invokeConcurrently(
+      long firstFunction, Map<ScriptedFleet.ClientInvocation, Long> functions) {
     for (long function = firstFunction; function < firstFunction + FUNCTIONS; function++) {
-      for (int i = 0; i < CROWD; i++) {
-        functions.put(fleet.take(0, function, 2000), function);
+      for (int i = 0; i < CONCURRENT_INVOCATIONS; i++) {
+        functions.put(fleet.submit(0, function, 2000), function);
       }
     }
-    fleet.pass(SLOW_ANSWER_MILLIS);
+    fleet.advance(SLOW_ANSWER_MILLIS);
     answerAll(functions);
   }
 
@@ -76,34 +78,35 @@
    * caused further loads.
    */
   @Example
-  void loadsForCapacityAreAShareOfTheAnswers() {
-    Map<ScriptedFleet.Taken, Long> functions = new HashMap<>();
+  void spillsAreLimitedToAShareOfTheAnswers() {
+    Map<ScriptedFleet.ClientInvocation, Long> functions = new HashMap<>();
     for (int round = 0; round < ROUNDS; round++) {
       loadEach(round * FUNCTIONS, functions);
-      crowd(round * FUNCTIONS, functions);
-      fleet.pass(500);
+      invokeConcurrently(round * FUNCTIONS, functions);
+      fleet.advance(500);
     }
     assertTrue(spills() > 0, "no function was loaded on a second host");
     assertTrue(
-        spills() <= SAVED + SHARE * answers, spills() + " spills for " + answers + " answers");
+        spills() <= MAX_SAVED + SPILLS_PER_ANSWER * answers,
+        spills() + " spills for " + answers + " answers");
   }
 
   /** A function that is loaded nowhere may be loaded even if others have used up the budget. */
   @Example
   void aFirstLoadNeedsNoBudget() {
-    Map<ScriptedFleet.Taken, Long> functions = new HashMap<>();
+    Map<ScriptedFleet.ClientInvocation, Long> functions = new HashMap<>();
     for (int round = 0; round < ROUNDS; round++) {
       loadEach(round * FUNCTIONS, functions);
-      crowd(round * FUNCTIONS, functions);
+      invokeConcurrently(round * FUNCTIONS, functions);
     }
-    ScriptedFleet.Taken first = fleet.take(0, NEW_FUNCTION, 2000);
-    assertEquals(1, first.outs.size());
+    ScriptedFleet.ClientInvocation first = fleet.submit(0, NEW_FUNCTION, 2000);
+    assertEquals(1, first.attempts.size());
   }
 
   @Example
-  void answersEarnLoadsUpToABound() {
+  void answersReplenishTheBudgetUpToItsMaximum() {
     SpillBudget budget = new SpillBudget();
-    for (int i = 0; i < SAVED; i++) {
+    for (int i = 0; i < MAX_SAVED; i++) {
       assertTrue(budget.isAvailable());
       budget.spend();
     }
@@ -122,6 +125,6 @@
       budget.spend();
       available++;
     }
-    assertEquals(SAVED, available);
+    assertEquals(MAX_SAVED, available);
   }
 }
