--- a/src/main/java/flintlead/scheduling/Scheduler.java
+++ b/src/main/java/flintlead/scheduling/Scheduler.java
@@ -18,21 +18,28 @@
 import java.util.List;
 
 /**
- * Schedules the invocations of one gateway on hosts: submit, schedule, send, retry, final answer.
- * The decisions on that path belong to the classes beside this one. Calls come one at a time.
+ * Schedules the invocations of one gateway on hosts, from submission through attempts and retries
+ * to the final answer. The decisions on the way are made by the other classes of this package.
+ *
+ * <p>Not thread-safe: calls must come one at a time.
  */
 public final class Scheduler implements SchedulingPolicy, InvocationEvents {
 
-  /** Paper: load orders after a miss that one gateway may have in flight. */
+  /** As in the paper: the most load orders after a miss that one gateway may have in flight. */
   private static final int MAX_MISS_LOAD_ORDERS = 2;
 
-  /** Retry-After of a rejected invocation. */
+  /** Retry-After of a rejected invocation while some host accepts work. */
   private static final Span RETRY_AFTER = Span.ofMillis(150);
 
-  /** The same while no host may be sent anything: only news of the hosts changes that. */
+  /**
+   * Retry-After while no host accepts work, which only a change in the state of the hosts can end.
+   */
   private static final Span RETRY_AFTER_WITHOUT_HOSTS = Span.ofMillis(1_000);
 
-  /** Bounds for a gateway that runs for months: functions and departed hosts remembered. */
+  /**
+   * Most functions and departed hosts remembered. They bound the memory of a gateway that runs for
+   * months.
+   */
   private static final int MAX_FUNCTIONS = 16_384;
 
   private static final int MAX_DEPARTED_HOSTS = 1_024;
@@ -44,9 +51,9 @@
   private final HostHealth health;
   private final CapacityLimits capacity;
   private final Placement placement;
-  private final ReleaseOrder release;
+  private final ReleaseOrder releaseOrder;
 
-  /** Creates the scheduler of one gateway; {@code seed} sets every random choice. */
+  /** Creates the scheduler of one gateway; {@code seed} determines all random choices. */
   public Scheduler(SchedulerContext context, Deployment deployment, long seed) {
     this.context = context;
     this.deployment = deployment;
@@ -55,7 +62,7 @@
     this.health = new HostHealth(state);
     this.capacity = new CapacityLimits(state);
     this.placement = new Placement(state, rules, health, capacity);
-    this.release = new ReleaseOrder(state, placement, this::schedule, this::abandon);
+    this.releaseOrder = new ReleaseOrder(state, placement, this::schedule, this::abandon);
     if (deployment.hostsOnRequest()) {
       context.subscribeHosts(true);
     }
@@ -66,23 +73,24 @@
     Moment now = context.now();
     capacity.recordArrival(now);
     InvocationState invocation = state.newInvocation(id, spec, this);
-    release.prioritize(invocation, now);
-    // Rule 1: one timer for the whole invocation, so that a queued or retried one is answered too.
-    Moment answerAt = Moment.later(now, invocation.deadline.minus(rules.margin));
+    releaseOrder.prioritize(invocation, now);
+    // Rule 1: one timer covers the whole invocation, so that it is also answered in time while it
+    // is queued or retried.
+    Moment answerAt = Moment.later(now, invocation.deadline.minus(rules.deadlineMargin));
     invocation.cancelTimer = context.schedule(answerAt, invocation::abandon);
     schedule(invocation);
     return invocation;
   }
 
-  /** Sends the invocation or queues it; returns false when it is (still) queued. */
+  /** Sends the invocation or queues it; returns whether it was sent. */
   private boolean schedule(InvocationState invocation) {
     Host host = placement.warmHost(invocation);
     boolean warm = host != null;
-    if (!warm && !placement.slotFreeSoon(invocation)) {
-      host = placement.firstHostOnWalk(invocation);
+    if (!warm && !placement.isSlotFreeSoon(invocation)) {
+      host = placement.hostForLoad(invocation);
     }
     if (host == null) {
-      release.enqueue(invocation);
+      releaseOrder.enqueue(invocation);
       return false;
     }
     if (!warm && placement.isWarmSomewhere(invocation)) {
@@ -93,12 +101,12 @@
   }
 
   private void send(InvocationState invocation, Host host, boolean warm) {
-    release.dequeue(invocation);
+    releaseOrder.dequeue(invocation);
     Attempt attempt = state.newAttempt(invocation, host, warm);
     capacity.recordAttempt(attempt);
     context.dispatch(invocation.id, host.id(), invocation.deadline);
-    Span loadTime = warm ? Span.ZERO : Placement.longestLoad(invocation);
-    checkSilenceAfter(attempt, Span.longer(HostHealth.silentAfter(invocation), loadTime));
+    Span loadTime = warm ? Span.ZERO : Placement.maxLoadTime(invocation);
+    checkSilenceAfter(attempt, Span.longer(HostHealth.silenceTimeout(invocation), loadTime));
   }
 
   private void checkSilenceAfter(Attempt attempt, Span delay) {
@@ -113,7 +121,7 @@
     if (attempt.hostSilent()) {
       state.loadEnded(attempt);
       if (!health.ejectIfSilent(attempt.host)) {
-        checkSilenceAfter(attempt, HostHealth.silentAfter(attempt.invocation));
+        checkSilenceAfter(attempt, HostHealth.silenceTimeout(attempt.invocation));
       }
     }
     if (!attempt.invocation.settled && attempt.host.consecutiveEjections > 0) {
@@ -121,7 +129,10 @@
     }
   }
 
-  /** Moves an invocation off a host that answers nothing, as far as rule 2 allows. */
+  /**
+   * Moves an invocation off a silent host, by a hedged attempt or by cancelling the attempt there,
+   * as far as rule 2 allows.
+   */
   private void hedgeOrCancel(Attempt attempt) {
     InvocationState invocation = attempt.invocation;
     if (invocation.attemptsInFlight > 1 || rules.attemptsExhausted(invocation)) {
@@ -129,7 +140,7 @@
     }
     if (deployment.supportsHedging()) {
       if (!schedule(invocation)) {
-        release.dequeue(invocation);
+        releaseOrder.dequeue(invocation);
       }
     } else if (deployment.supportsCancellation()
         && invocation.type.effect() != Effect.NON_IDEMPOTENT) {
@@ -141,8 +152,8 @@
   public void attemptEnded(Attempt attempt, boolean answered) {
     InvocationState invocation = attempt.invocation;
     if (attempt.outcome == Outcome.CONNECTION_LOST) {
-      // The host lives, only the connection broke: else one of three addresses takes the host
-      // along.
+      // Only the connection broke and the host is alive, so it may be tried again. Otherwise the
+      // loss of one of a host's three addresses would exclude the whole host.
       invocation.retryableHost = attempt.host;
     }
     recordOutcome(attempt);
@@ -156,10 +167,10 @@
         abandon(invocation);
       }
     }
-    release.releasePending();
+    releaseOrder.releasePending();
   }
 
-  /** Updates what is known of the host, and of the function on it, by the outcome of an attempt. */
+  /** Updates the state of the host, and of the function on it, from the outcome of an attempt. */
   private void recordOutcome(Attempt attempt) {
     Host host = attempt.host;
     state.attemptEnded(attempt);
@@ -197,7 +208,11 @@
     }
   }
 
-  /** Paper: after a miss, queue, order one instance there, send once it is loaded, else walk on. */
+  /**
+   * As in the paper: after a miss, queues the invocation and orders one instance at the host. The
+   * invocation is sent there once the instance is loaded, and to another host if the load fails.
+   * Returns false if no load may be ordered.
+   */
   private boolean orderLoadAfterMiss(Attempt attempt) {
     InvocationState invocation = attempt.invocation;
     Host host = attempt.host;
@@ -214,20 +229,22 @@
     state.loadOrders.add(invocation, host);
     capacity.recordLoadOrder();
     context.load(host.id(), function, 1);
-    release.enqueue(invocation);
+    releaseOrder.enqueue(invocation);
     return true;
   }
 
-  /** Gives the final answer at once: rejected where a client's retry is harmless, else failed. */
+  /**
+   * Gives the final answer at once: rejected if a retry by the client is safe, otherwise failed.
+   */
   @Override
   public void abandon(InvocationState invocation) {
     if (invocation.settled) {
       return;
     }
-    boolean harmless = rules.mayReject(invocation);
+    boolean retryIsSafe = rules.mayReject(invocation);
     settle(invocation);
-    if (harmless) {
-      release.refundQuota(invocation);
+    if (retryIsSafe) {
+      releaseOrder.refundQuota(invocation);
       Span retryAfter = rules.anyHostAcceptsWork() ? RETRY_AFTER : RETRY_AFTER_WITHOUT_HOSTS;
       context.throttle(invocation.id, deployment.boundRetryAfter(retryAfter));
     } else {
@@ -238,7 +255,7 @@
   /** Ends scheduling of the invocation; cancels attempts in flight where hosts support it. */
   private void settle(InvocationState invocation) {
     invocation.settled = true;
-    release.dequeue(invocation);
+    releaseOrder.dequeue(invocation);
     invocation.cancelTimer.run();
     for (Attempt attempt : invocation.attempts) {
       if (attempt.outcome == null && deployment.supportsCancellation()) {
@@ -249,9 +266,10 @@
 
   @Override
   public void responseStarted(Attempt attempt) {
-    // A streamed answer belongs to its client: scheduling is over here, the outcome still to come.
+    // A streamed response is already on its way to the client, so the invocation needs no further
+    // scheduling. Its outcome is reported later.
     attempt.invocation.settled = true;
-    release.dequeue(attempt.invocation);
+    releaseOrder.dequeue(attempt.invocation);
     attempt.host.recordAnswer(context.now());
   }
 
@@ -259,7 +277,7 @@
   public void clientDisconnected(InvocationState invocation) {
     if (!invocation.settled) {
       settle(invocation);
-      release.releasePending();
+      releaseOrder.releasePending();
     }
   }
 
@@ -271,12 +289,15 @@
 
   @Override
   public void updateHosts(List<HostEntry> entries) {
-    state.hosts.update(entries, this::hostStarted, state.loadOrders::involve);
-    release.releasePending();
+    state.hosts.update(entries, this::resetHost, state.loadOrders::involve);
+    releaseOrder.releasePending();
   }
 
-  /** A process that starts, under the same id too, has nothing loaded and no past. */
-  private void hostStarted(Host host) {
+  /**
+   * Resets the health and the limits of a host that is new, or whose process restarted under the
+   * same id: nothing known of the previous process applies to it, and no function is loaded.
+   */
+  private void resetHost(Host host) {
     health.reset(host);
     capacity.reset(host);
   }
@@ -302,7 +323,7 @@
       capacity.pauseLoads(host);
     }
     state.loadOrders.end(host, function, outcome == Outcome.OK);
-    release.releasePending();
+    releaseOrder.releasePending();
   }
 
   @Override
@@ -310,7 +331,10 @@
     placement.mergeGossip(message);
   }
 
-  /** More than configured make each one's share smaller; fewer not larger: the missing may live. */
+  /**
+   * More gateways than configured make the share of each smaller. Fewer do not make it larger,
+   * because the missing ones may still be running.
+   */
   @Override
   public void gatewayCountChanged(int count) {
     state.gateways = Math.max(Math.max(1, deployment.gateways()), count);
--- a/src/main/java/flintlead/scheduling/lease/HostLease.java
+++ b/src/main/java/flintlead/scheduling/lease/HostLease.java
@@ -4,78 +4,87 @@
 import flintlead.time.Span;
 import flintlead.time.TokenBucket;
 
-/** What one gateway knows of one host without the host list. */
+/** The lease of one host, and the probes that can renew it while the host list is not current. */
 final class HostLease {
 
-  /** After a denied or unanswered probe the host is left alone; doubled with each in a row. */
-  private static final Span FIRST_PROBE_PAUSE = Span.ofMillis(400);
+  /** Backoff after a denied or unanswered probe, doubled with each consecutive one. */
+  private static final Span INITIAL_PROBE_BACKOFF = Span.ofMillis(400);
 
-  private static final int MAX_PAUSE_DOUBLINGS = 3;
+  private static final int MAX_BACKOFF_DOUBLINGS = 3;
 
-  /** Probes to a host that may be saved up. */
+  /** Most probes to a host that may accumulate in its token bucket. */
   private static final double PROBE_BURST = 2;
 
   private final LeaseTerms terms;
   private final TokenBucket probes = new TokenBucket(PROBE_BURST);
 
-  /** When the latest proof was asked for; null where there is none. */
+  /** When the request of the latest proof was sent; null if there is no proof. */
   private Moment provenAt;
 
-  /** Proofs asked for before that are void; null where all count. */
+  /**
+   * When the host was last found unreachable; proofs whose requests were sent by then are void.
+   * Null if it never was.
+   */
   private Moment unreachableAt;
 
-  /** The first proof since the host could not be reached; null where there is none. */
-  private Moment provenAgainAt;
+  /** When the request of the first proof after that was sent; null if there is none. */
+  private Moment reachableAgainAt;
 
-  private Moment pausedUntil = Moment.START;
+  private Moment backoffUntil = Moment.START;
   private int failedProbes;
   private boolean probing;
 
-  /** Whether the host was last found usable; null before it was found either way. */
-  private Boolean reportedUsable;
+  /** Whether the host was last recorded as usable; null if nothing was recorded. */
+  private Boolean lastUsable;
 
   HostLease(LeaseTerms terms) {
     this.terms = terms;
   }
 
-  /** Renews the lease from when the proof was asked for; returns whether the proof counts. */
-  boolean prove(Moment askedAt) {
+  /**
+   * Renews the lease from the time at which the request of a proof was sent; returns false if the
+   * proof is void.
+   */
+  boolean renew(Moment askedAt) {
     if (unreachableAt != null && !askedAt.isAfter(unreachableAt)) {
       return false;
     }
     provenAt = provenAt == null ? askedAt : Moment.later(provenAt, askedAt);
-    if (unreachableAt != null && provenAgainAt == null) {
-      provenAgainAt = askedAt;
+    if (unreachableAt != null && reachableAgainAt == null) {
+      reachableAgainAt = askedAt;
     }
     failedProbes = 0;
-    pausedUntil = Moment.START;
+    backoffUntil = Moment.START;
     return true;
   }
 
-  /** Ends the lease: only a new proof renews it. */
+  /** Ends the lease until a new proof renews it. */
   void end() {
     provenAt = null;
   }
 
-  /** Ends the lease, as another process may live there later. */
-  void unreachable(Moment at) {
+  /**
+   * Ends the lease and voids the proofs requested by then, as another process may run at the host's
+   * address later.
+   */
+  void markUnreachable(Moment at) {
     end();
     unreachableAt = at;
-    provenAgainAt = null;
+    reachableAgainAt = null;
   }
 
   boolean holds(Moment now) {
-    return provenAt != null && now.isBefore(provenAt.plus(terms.duration()));
+    return provenAt != null && now.isBefore(provenAt.plus(terms.leaseDuration()));
   }
 
-  /** When it could last not be reached; null where it always could. */
+  /** Returns when the host was last found unreachable; null if it never was. */
   Moment unreachableAt() {
     return unreachableAt;
   }
 
-  /** The first proof since then; null where there is none. */
-  Moment provenAgainAt() {
-    return provenAgainAt;
+  /** Returns when the request of the first proof after that was sent; null if there is none. */
+  Moment reachableAgainAt() {
+    return reachableAgainAt;
   }
 
   // ---- probes ----
@@ -84,11 +93,11 @@
     return probing;
   }
 
-  boolean isPaused(Moment now) {
-    return now.isBefore(pausedUntil);
+  boolean isBackingOff(Moment now) {
+    return now.isBefore(backoffUntil);
   }
 
-  boolean hasProbeLeft(Moment now) {
+  boolean hasProbeToken(Moment now) {
     return probes.refill(now, terms.probesPerSecond(), PROBE_BURST);
   }
 
@@ -101,24 +110,27 @@
     probing = false;
   }
 
-  /** The probe that has just ended proved nothing. */
+  /** Ends the lease and begins a backoff, after a probe that proved nothing. */
   void probeFailed(Moment now) {
     end();
-    int doublings = Math.min(failedProbes++, MAX_PAUSE_DOUBLINGS);
-    pausedUntil = now.plus(FIRST_PROBE_PAUSE.times(1L << doublings));
+    int doublings = Math.min(failedProbes++, MAX_BACKOFF_DOUBLINGS);
+    backoffUntil = now.plus(INITIAL_PROBE_BACKOFF.times(1L << doublings));
   }
 
-  /** The list speaks for the host again. */
-  void listCurrent() {
-    reportedUsable = null;
+  /** Clears the recorded state and the probe failures, as the host list is current again. */
+  void clearProbeHistory() {
+    lastUsable = null;
     failedProbes = 0;
-    pausedUntil = Moment.START;
+    backoffUntil = Moment.START;
   }
 
-  /** Notes what the host was found to be; returns whether that is news. */
-  boolean isNews(boolean usable) {
-    boolean news = reportedUsable == null ? !usable : reportedUsable != usable;
-    reportedUsable = usable;
-    return news;
+  /**
+   * Records whether the host is usable; returns whether that is a change. Before the first record
+   * it counts as usable.
+   */
+  boolean recordUsable(boolean usable) {
+    boolean changed = lastUsable == null ? !usable : lastUsable != usable;
+    lastUsable = usable;
+    return changed;
   }
 }
--- a/src/test/java/flintlead/ids/NameHashTest.java
+++ b/src/test/java/flintlead/ids/NameHashTest.java
@@ -7,11 +7,12 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Numbers that the walk of every gateway rests on. */
+/** The numbers on which the hash walk of every gateway depends. */
 class NameHashTest {
 
   /**
-   * Written down once: a change would move every function's home in a fleet that is half updated.
+   * Fixed values: a change of the hash would move every function's home in a fleet that is only
+   * partly upgraded.
    */
   @Test
   void numbersNeverChange() {
@@ -24,7 +25,7 @@
   private static final long FUNCTION = 102427200322L;
 
   @Test
-  void twoNamesWithOneNumberAreNoticed() {
+  void namesWithTheSameNumberAreRejected() {
     FunctionNames names = new FunctionNames(2, name -> name.length());
     assertEquals(1, names.remember("a"));
     assertTrue(
@@ -35,7 +36,7 @@
   }
 
   @Test
-  void theNamesUsedLongestAgoAreForgotten() {
+  void leastRecentlyUsedNamesAreForgotten() {
     FunctionNames names = new FunctionNames(2, name -> name.length());
     names.remember("a");
     names.remember("bb");
