--- a/src/main/java/flintlead/scheduling/state/AimdLimit.java
+++ b/src/main/java/flintlead/scheduling/state/AimdLimit.java
@@ -18,27 +18,30 @@
     this.max = max;
   }
 
-  /** The limit now. */
+  /** Returns the current limit. */
   public double value() {
     return value;
   }
 
-  /** Sets the limit back; a decrease shortly before still delays the next. */
+  /**
+   * Resets the limit to its initial value. The time of the last decrease is kept, so the minimum
+   * interval between decreases still holds.
+   */
   void reset(double initial) {
     value = initial;
   }
 
   /**
-   * Raises the limit by the step divided by the limit, so that one step is a whole round of
-   * answers.
+   * Raises the limit by {@code step} divided by the limit, so that a full round of answers, as many
+   * as the limit, raises it by about {@code step}.
    */
   public void increase(double step) {
     value = Math.min(max, value + step / value);
   }
 
   /**
-   * Multiplies the part of the limit that is in use, unless a decrease is less than the interval
-   * ago.
+   * Multiplies the part of the limit that is in use by {@code factor}. Does nothing within {@code
+   * interval} of the last decrease.
    */
   public void decrease(Moment now, Span interval, double inUse, double factor) {
     if (now.since(decreasedAt).isLongerThan(interval)) {
@@ -47,7 +50,7 @@
     }
   }
 
-  /** Lowers the limit to what is in use. */
+  /** Lowers the limit to the part that is in use, but not below the minimum. */
   public void cap(double inUse) {
     value = Math.max(min, Math.min(value, inUse));
   }
--- a/src/main/java/flintlead/scheduling/state/Attempt.java
+++ b/src/main/java/flintlead/scheduling/state/Attempt.java
@@ -10,26 +10,29 @@
 
   public final InvocationState invocation;
 
-  /** Its place among the attempts of the invocation, from 0. */
+  /** Index among the attempts of the invocation, from 0. */
   public final int number;
 
   public final Host host;
   public final InstanceEstimate estimate;
   public final Moment sentAt;
 
-  /** Whether the host was believed warm when it was sent. */
+  /** Whether the host was believed to have the function loaded when the attempt was sent. */
   public final boolean warm;
 
-  /** Whether it still counts as a load in flight. */
+  /** Whether the attempt is still counted as a load in flight. */
   public boolean countsAsLoad;
 
-  /** How it ended; null while it is in flight, as are elapsed time and remark. */
+  /**
+   * The outcome. As long as the attempt is in flight, this, {@link #elapsed} and {@link #remark}
+   * are null.
+   */
   public Outcome outcome;
 
   public Span elapsed;
   public HostRemark remark;
 
-  /** Cancels the check whether its host is silent. */
+  /** Cancels the timer that checks whether the host has answered. */
   public Runnable cancelSilenceCheck;
 
   Attempt(
@@ -54,17 +57,17 @@
     cancelSilenceCheck.run();
   }
 
-  /** The latency objective of its invocation. */
+  /** Returns the latency objective of the invocation's trigger type. */
   public Span latencyObjective() {
     return invocation.type.latencyObjective();
   }
 
-  /** Whether its host has answered nothing since it was sent. */
+  /** Returns whether the host has answered nothing, to any attempt, since this one was sent. */
   public boolean hostSilent() {
     return !host.lastAnswerAt.isAfter(sentAt);
   }
 
-  /** Whether nothing proves that it did not run. */
+  /** Returns false only if the outcome proves that the function did not run. */
   public boolean mayHaveRun() {
     return outcome == null || outcome.mayHaveRun();
   }
--- a/src/main/java/flintlead/scheduling/state/CustomerQuotas.java
+++ b/src/main/java/flintlead/scheduling/state/CustomerQuotas.java
@@ -5,13 +5,16 @@
 import flintlead.time.TokenBucket;
 import java.util.Arrays;
 
-/** The token bucket of each customer: this gateway's even part of what the customer may send. */
+/**
+ * Enforces customer quotas with one token bucket per customer. Each gateway grants an equal share
+ * of a customer's quota.
+ */
 public final class CustomerQuotas {
 
   private final SchedulerState state;
   private final TokenBucket[] buckets;
 
-  /** Creates buckets filled for one second. */
+  /** Creates buckets that each hold the tokens of one second. */
   public CustomerQuotas(SchedulerState state) {
     this.state = state;
     this.buckets = new TokenBucket[state.deployment.customerQuotas().size()];
@@ -23,12 +26,15 @@
     return deployment.customerQuotas().get(customer) / state.gateways;
   }
 
-  /** Takes a token; returns false when the customer is beyond its quota. */
+  /**
+   * Takes a token; returns false if the customer has used up its quota. A customer without a quota
+   * is never limited.
+   */
   public boolean tryTake(int customer, Moment now) {
     return customer >= buckets.length || buckets[customer].tryTake(now, perSecond(customer));
   }
 
-  /** Returns a token that was spent in vain. */
+  /** Puts back a token that was taken for an invocation that was then rejected. */
   public void refund(int customer) {
     if (customer < buckets.length) {
       buckets[customer].refund();
--- a/src/main/java/flintlead/scheduling/state/FunctionState.java
+++ b/src/main/java/flintlead/scheduling/state/FunctionState.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** What a gateway knows of one function at all hosts. */
+/** State of one function in a gateway, over all hosts. */
 public final class FunctionState {
 
   private static final double TWO_TO_52 = 0x1p52;
@@ -16,33 +16,40 @@
 
   public final long id;
 
-  /** One for each host that it was sent to and that has not started anew since. */
+  /**
+   * Estimates by host, for hosts that the function was sent to or, according to a peer, is loaded
+   * at. They are removed when the host restarts or is forgotten.
+   */
   public final List<InstanceEstimate> estimates = new ArrayList<>();
 
   /**
-   * Hosts that its invocations, of all gateways, are spread over; a fraction is taken by chance.
+   * Number of hosts that the invocations of all gateways are spread over. It may be fractional, as
+   * each invocation picks its host by a random draw.
    */
   public double replicaTarget = 1;
 
-  /** The replica target that peers were last told. */
+  /** The replica target that was last sent to peers. */
   public double gossipedReplicaTarget = 1;
 
-  /** Own invocations of it in the queue. */
+  /**
+   * This gateway's queued invocations of the function. During {@link PendingQueue#visitInOrder},
+   * only those already passed over are counted.
+   */
   public int queued;
 
   private Host[] walk;
   private Host[] walkHosts;
 
-  /** Creates a function that is known nowhere. */
+  /** Creates a function without estimates. */
   public FunctionState(long id) {
     this.id = id;
   }
 
   /**
-   * The hosts in the order of a hash of function and host id: a host that comes or goes moves no
-   * other.
+   * Returns the hosts ordered by a hash of function id and host id (rendezvous hashing). Adding or
+   * removing a host does not change the relative order of the others.
    *
-   * @param hosts an array that is never changed; the walk is computed once for it
+   * @param hosts an array that is never modified; its walk is cached until another array is passed
    */
   public Host[] hashWalk(Host[] hosts) {
     if (walkHosts != hosts) {
@@ -68,9 +75,10 @@
   }
 
   /**
-   * First hosts in proportion to weights, and still no other moves when one weight changes
-   * (weighted rendezvous: Schindelhauer and Schomaker, 2005, logarithmic method). With equal
-   * weights the order is that of the hash alone.
+   * Sorts the walk by weighted rendezvous hashing (Schindelhauer and Schomaker, 2005, logarithmic
+   * method). The probability that a host comes first is proportional to its weight, and changing
+   * one weight does not change the relative order of the other hosts. With equal weights the result
+   * is the order of the hash alone.
    */
   private void sortByWeightedRendezvous(long seed) {
     Map<Host, Double> distances = new IdentityHashMap<>();
@@ -83,7 +91,7 @@
     Arrays.sort(walk, Comparator.comparingDouble(distances::get));
   }
 
-  /** Whether an invocation of it is queued or in flight. */
+  /** Returns whether an invocation of the function is queued or in flight. */
   public boolean isBusy() {
     for (InstanceEstimate estimate : estimates) {
       if (estimate.inFlight > 0) {
@@ -93,13 +101,13 @@
     return queued > 0;
   }
 
-  /** Removes its estimates at all hosts. */
+  /** Removes the estimates for all hosts. */
   public void forgetEstimates() {
     estimates.forEach(estimate -> estimate.host.functions.remove(this));
     estimates.clear();
   }
 
-  /** Its estimate at the host; null when there is none. */
+  /** Returns the estimate for the host, or null if there is none. */
   public InstanceEstimate estimateAt(Host host) {
     for (InstanceEstimate estimate : estimates) {
       if (estimate.host == host) {
@@ -109,7 +117,7 @@
     return null;
   }
 
-  /** Its estimate at the host. */
+  /** Returns the estimate for the host; creates it if there is none. */
   public InstanceEstimate getOrCreateEstimate(Host host) {
     InstanceEstimate estimate = estimateAt(host);
     if (estimate == null) {
--- a/src/main/java/flintlead/scheduling/state/FunctionTable.java
+++ b/src/main/java/flintlead/scheduling/state/FunctionTable.java
@@ -6,8 +6,8 @@
 import java.util.function.BiConsumer;
 
 /**
- * The functions that a gateway knows, bounded: beyond the bound the idle one unused longest is
- * forgotten.
+ * The functions known to a gateway. If there are more than the maximum, the least recently used one
+ * with no invocation queued or in flight is evicted.
  */
 public final class FunctionTable {
 
@@ -16,7 +16,7 @@
 
   private final int maxFunctions;
 
-  /** In the order of last use. */
+  /** Sorted by last use, the least recently used function first. */
   private final Map<Long, FunctionState> functions =
       new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
 
@@ -24,7 +24,7 @@
     this.maxFunctions = maxFunctions;
   }
 
-  /** The function of that id. */
+  /** Returns the function with that id; creates it if it is unknown. */
   public FunctionState getOrCreate(long id) {
     FunctionState function = functions.get(id);
     if (function == null) {
@@ -49,7 +49,7 @@
     }
   }
 
-  /** Calls with each function and each of its estimates. */
+  /** Passes each estimate, with its function, to the consumer. */
   public void forEachEstimate(BiConsumer<FunctionState, InstanceEstimate> consumer) {
     functions
         .values()
--- a/src/main/java/flintlead/scheduling/state/Host.java
+++ b/src/main/java/flintlead/scheduling/state/Host.java
@@ -6,66 +6,81 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** What a gateway knows of one host, from its first listing on. */
+/** State of one host in a gateway, created when the host is first listed. */
 public final class Host {
 
   public HostEntry entry;
   public boolean listed = true;
 
-  /** The functions that have an estimate here. */
+  /** Functions that have an estimate for this host. */
   public final Set<FunctionState> functions = new LinkedHashSet<>();
 
-  /** Own attempts in flight. */
+  /** This gateway's attempts in flight. */
   public int inFlight;
 
-  /** Own attempts that may still be sent while the host is warming up. */
+  /** Attempts that this gateway may still send while the host is in slow start. */
   public TokenBucket slowStartTokens;
 
-  /** Own attempts that may be in flight; null until the host has started. */
+  /**
+   * Limit of this gateway's attempts in flight; null until {@link #resetConcurrencyLimit} is first
+   * called.
+   */
   public AimdLimit concurrencyLimit;
 
-  /** Moving average of the latency of warm answers, as a share of their objectives. */
+  /** Moving average of the latency of warm answers, relative to their latency objectives. */
   public double relativeLatency;
 
-  /** No load is sent before then, as the host answered full. */
+  /**
+   * The host answered FULL; until this time it is selected neither for loads nor for warm
+   * invocations.
+   */
   public Moment fullUntil = Moment.START;
 
   public Moment lastAnswerAt = Moment.START;
 
-  /** Attempts found without an answer for too long since the last answer. */
+  /**
+   * Number of silence checks that found an attempt unanswered, since the last answer of the host.
+   * An attempt may be checked more than once.
+   */
   public int silentAttempts;
 
-  /** Share of failures among recent outcomes. */
+  /** Exponential moving average of the share of failures among outcomes. */
   public double failureRate;
 
   public int consecutiveEjections;
   public Moment ejectedUntil = Moment.START;
 
-  /** Of the attempts in flight when the host was ejected, those that still are. */
+  /**
+   * Attempts in flight when the host was last ejected, lowered as attempts end. A higher {@link
+   * #inFlight} means that a trial invocation is in flight.
+   */
   public int inFlightAtEjection;
 
-  /** Creates a host that has not been sent anything. */
+  /** Creates the state of a host that nothing was sent to. */
   public Host(HostEntry entry) {
     this.entry = entry;
   }
 
-  /** The number by which the host list names it. */
+  /** Returns the host's id in the host list. */
   public long id() {
     return entry.host();
   }
 
-  /** Whether it is listed and neither draining nor gone. */
+  /** Returns whether the host is listed and neither draining nor gone. */
   public boolean isReady() {
     return listed && entry.state() == HostEntry.State.READY;
   }
 
-  /** Notes that it answered. */
+  /** Records an answer of the host, to any attempt. */
   public void recordAnswer(Moment now) {
     lastAnswerAt = now;
     silentAttempts = 0;
   }
 
-  /** Sets the concurrency limit back; a decrease shortly before still delays the next. */
+  /**
+   * Resets the concurrency limit to its initial value. An existing limit keeps its bounds and the
+   * time of its last decrease, so the minimum interval between decreases still holds.
+   */
   public void resetConcurrencyLimit(double initial, double min, double max) {
     if (concurrencyLimit == null) {
       concurrencyLimit = new AimdLimit(initial, min, max);
@@ -73,7 +88,7 @@
     concurrencyLimit.reset(initial);
   }
 
-  /** Forgets which instances were loaded. */
+  /** Removes the estimates of all functions for this host. */
   public void forgetEstimates() {
     functions.forEach(function -> function.estimates.removeIf(estimate -> estimate.host == this));
     functions.clear();
--- a/src/main/java/flintlead/scheduling/state/HostTable.java
+++ b/src/main/java/flintlead/scheduling/state/HostTable.java
@@ -8,39 +8,43 @@
 import java.util.function.Predicate;
 
 /**
- * The hosts that a gateway knows: those listed, and a bounded number of departed ones still in use.
+ * The hosts known to a gateway: the listed ones, and departed ones, which are removed once there
+ * are more than the maximum. Departed hosts that are still in use are kept.
  */
 public final class HostTable {
 
   private final int maxDeparted;
   private final TreeMap<Long, Host> hosts = new TreeMap<>();
 
-  /** Those listed and not gone, sorted by id; replaced, never changed. */
+  /**
+   * Listed hosts that are not gone, sorted by id. The array is replaced on an update, never
+   * modified.
+   */
   private Host[] listed = new Host[0];
 
-  /** Listed hosts that are ejected. */
+  /** Number of listed hosts that were ejected and have not succeeded since. */
   private int ejected;
 
   HostTable(int maxDeparted) {
     this.maxDeparted = maxDeparted;
   }
 
-  /** The host of that id, listed or not; null when unknown. */
+  /** Returns the host with that id, listed or not, or null if it is unknown. */
   public Host find(long id) {
     return hosts.get(id);
   }
 
-  /** The listed hosts, sorted by id; not to be changed. */
+  /** Returns the listed hosts, sorted by id. The array must not be modified. */
   public Host[] listed() {
     return listed;
   }
 
-  /** How many listed hosts are ejected. */
+  /** Returns the number of listed hosts that were ejected and have not succeeded since. */
   public int ejectedCount() {
     return ejected;
   }
 
-  /** Takes all hosts off the list; to be followed by {@link #update}. */
+  /** Marks all hosts as not listed. Must be followed by {@link #update}. */
   public void unlistAll() {
     for (Host host : hosts.values()) {
       host.listed = false;
@@ -48,10 +52,11 @@
   }
 
   /**
-   * Adds and changes hosts.
+   * Adds new hosts and updates known ones.
    *
-   * @param started called with each host whose process is new, before its entry is replaced
-   * @param inUse whether a departed host may not be forgotten yet
+   * @param started called with each new host, and with each host whose process has restarted,
+   *     before its entry is replaced
+   * @param inUse returns true for a departed host that must be kept
    */
   public void update(List<HostEntry> entries, Consumer<Host> started, Predicate<Host> inUse) {
     for (HostEntry entry : entries) {
@@ -86,14 +91,14 @@
     return idle;
   }
 
-  /** Counts one more ejection in a row. */
+  /** Counts one more consecutive ejection of the host. */
   public void countEjection(Host host) {
     if (host.consecutiveEjections++ == 0 && host.listed) {
       ejected++;
     }
   }
 
-  /** Ends a row of ejections. */
+  /** Resets the host's consecutive ejections to zero. */
   public void clearEjections(Host host) {
     if (host.consecutiveEjections > 0 && host.listed) {
       ejected--;
--- a/src/main/java/flintlead/scheduling/state/InstanceEstimate.java
+++ b/src/main/java/flintlead/scheduling/state/InstanceEstimate.java
@@ -3,23 +3,32 @@
 import flintlead.time.Moment;
 import flintlead.time.Span;
 
-/** What a gateway believes to be loaded, and has in flight, of one function at one host. */
+/**
+ * How many instances of one function a gateway believes to be loaded at one host, and how many
+ * attempts it has in flight there.
+ */
 public final class InstanceEstimate {
 
   public final Host host;
 
-  /** Instances believed to be loaded; see {@link #instances(Moment, Span)}. */
+  /**
+   * Instances believed to be loaded when last used; {@link #instances(Moment, Span)} accounts for
+   * the keep-alive time.
+   */
   public int instances;
 
   public Moment lastUsedAt = Moment.START;
 
-  /** Whether a peer observed the instances and this gateway did not. */
+  /** Whether the estimate is a peer's observation rather than this gateway's own. */
   public boolean learnedFromPeer;
 
-  /** Own attempts in flight. */
+  /** This gateway's attempts in flight. */
   public int inFlight;
 
-  /** Of those, attempts that were sent without believing the host warm. */
+  /**
+   * Number of these attempts that count as loads, as the function was not believed to be loaded
+   * when they were sent.
+   */
   public int loadsInFlight;
 
   public Moment loadingSince = Moment.START;
@@ -28,7 +37,10 @@
     this.host = host;
   }
 
-  /** The instances believed to be loaded; none once unused for the keep-alive time. */
+  /**
+   * Returns the number of instances believed to be loaded; zero if they were unused for longer than
+   * the keep-alive time.
+   */
   public int instances(Moment now, Span keepAlive) {
     if (instances > 0 && inFlight == 0 && now.since(lastUsedAt).isLongerThan(keepAlive)) {
       instances = 0;
@@ -36,14 +48,14 @@
     return instances;
   }
 
-  /** Records what this gateway observed itself. */
+  /** Records this gateway's own observation. */
   public void observe(int observed, Moment now) {
     instances = observed;
     lastUsedAt = now;
     learnedFromPeer = false;
   }
 
-  /** Records what a peer observed. */
+  /** Records a peer's observation. */
   public void learn(int observed, Moment observedAt) {
     instances = observed;
     lastUsedAt = observedAt;
--- a/src/main/java/flintlead/scheduling/state/InvocationEvents.java
+++ b/src/main/java/flintlead/scheduling/state/InvocationEvents.java
@@ -1,19 +1,20 @@
 package flintlead.scheduling.state;
 
-/** What happens to an invocation after it was submitted. */
+/** Receives the events of an invocation after its submission. */
 public interface InvocationEvents {
 
   /**
-   * An attempt ended, for the first time; {@code answered} when the client has its final answer.
+   * An attempt ended; called once for each attempt. {@code answered} is true if the client has its
+   * final answer.
    */
   void attemptEnded(Attempt attempt, boolean answered);
 
   /** The streamed response of an attempt began. */
   void responseStarted(Attempt attempt);
 
-  /** The client left. */
+  /** The client disconnected. */
   void clientDisconnected(InvocationState invocation);
 
-  /** The final answer is wanted now. */
+  /** The final answer must be given now. */
   void abandon(InvocationState invocation);
 }
--- a/src/main/java/flintlead/scheduling/state/InvocationState.java
+++ b/src/main/java/flintlead/scheduling/state/InvocationState.java
@@ -10,7 +10,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What has happened to one invocation since it was submitted. */
+/** State of one invocation since its submission. */
 public final class InvocationState implements InvocationHandle {
 
   public final long id;
@@ -18,48 +18,57 @@
   public final TriggerType type;
   public final FunctionState function;
 
-  /** Invocations that one instance of the function runs at a time. */
+  /** Invocations that one instance of the function runs concurrently. */
   public final double slotsPerInstance;
 
-  /** The client's timeout. */
+  /** When the client's timeout expires. */
   public final Moment deadline;
 
-  /** The earlier of the client's timeout and the end of the latency objective. */
+  /** The earlier of {@link #deadline} and the end of the latency objective. */
   public final Moment objectiveDeadline;
 
   public final List<Attempt> attempts = new ArrayList<>(2);
   public int attemptsInFlight;
 
-  /** Whether it is beyond its customer's quota. */
+  /** Whether the customer had used up its quota when the invocation was submitted. */
   public boolean overQuota;
 
   public boolean queued;
 
-  /** Its priority among queued invocations: the highest goes first. */
+  /** Priority in the queue; the invocation with the highest is released first. */
   public double priorityWeight;
 
-  /** The order of arrival in the queue, from 1; 0 while it is not queued. */
+  /** Order of arrival in the queue, from 1; 0 if the invocation is not queued. */
   public long queueSequence;
 
-  /** How long it may stay in the queue. */
+  /** When the invocation expires in the queue, unless a load was ordered for it. */
   public Moment queueUntil;
 
-  /** A random number from 0 to 1, drawn once: which of its function's hosts it goes to. */
+  /**
+   * Random number from 0 to 1, drawn once per invocation, that selects one of the hosts its
+   * function is spread over.
+   */
   public double placementDraw;
 
-  /** Hosts with capacity along the hash walk that it leaves to others. */
+  /**
+   * Number of hosts with capacity to skip on the hash walk. They serve the invocations with a lower
+   * {@link #placementDraw}.
+   */
   public double hostsToSkip;
 
-  /** Where a load was ordered for it after a miss; null when none was. */
+  /** Host that was sent a load order for this invocation after a miss; null if none was. */
   public Host loadOrderedAt;
 
-  /** A host that was tried and may be tried once more; null when there is none. */
+  /** Host that may be tried again although an attempt was sent to it; null if there is none. */
   public Host retryableHost;
 
-  /** Cancels the timer of its final answer. */
+  /** Cancels the timer that forces the final answer. */
   public Runnable cancelTimer;
 
-  /** Whether it has its final answer, or needs none. */
+  /**
+   * Whether scheduling is over: the final answer was given, its stream has begun, or the client
+   * disconnected.
+   */
   public boolean settled;
 
   private final InvocationEvents events;
@@ -81,7 +90,7 @@
     this.events = events;
   }
 
-  /** Whether an attempt went to the host, which may not be repeated there. */
+  /** Returns whether an attempt was sent to the host and may not be repeated there. */
   public boolean wasTried(Host host) {
     for (Attempt attempt : attempts) {
       if (attempt.host == host && host != retryableHost) {
@@ -91,7 +100,10 @@
     return false;
   }
 
-  /** The earliest attempt that is in flight or did not prove that nothing ran; null when none. */
+  /**
+   * Returns the earliest attempt that is in flight or whose outcome does not prove that the
+   * function did not run, or null if there is none.
+   */
   public Attempt firstThatMayHaveRun() {
     for (Attempt attempt : attempts) {
       if (attempt.mayHaveRun()) {
--- a/src/main/java/flintlead/scheduling/state/PeakRate.java
+++ b/src/main/java/flintlead/scheduling/state/PeakRate.java
@@ -16,10 +16,10 @@
   private double previousPeak;
 
   /**
-   * Creates a rate without events.
+   * Creates a rate with no events.
    *
-   * @param minWindow shortest time that events are divided by
-   * @param maxWindow after this time a new window begins, so that a rate that fell is believed
+   * @param minWindow minimum time that events are averaged over
+   * @param maxWindow time after which a new window begins, so that a former peak expires
    */
   public PeakRate(Moment start, Span minWindow, Span maxWindow) {
     this.windowStart = start;
@@ -27,7 +27,7 @@
     this.maxWindow = maxWindow;
   }
 
-  /** Counts an event that happens now. */
+  /** Counts an event at the given time. */
   public void record(Moment now) {
     events++;
     Span elapsed = Span.longer(now.since(windowStart), minWindow);
@@ -40,7 +40,7 @@
     }
   }
 
-  /** Events per second. */
+  /** Returns the peak rate in events per second. */
   public double perSecond() {
     return Math.max(peak, previousPeak);
   }
--- a/src/main/java/flintlead/scheduling/state/PendingQueue.java
+++ b/src/main/java/flintlead/scheduling/state/PendingQueue.java
@@ -12,9 +12,9 @@
 import java.util.function.Predicate;
 
 /**
- * Queued invocations in the order of release: by priority, then first come. Each function's are
- * kept apart, so that a round of releases costs what can be released, not what is queued. Also
- * sorted by the times at which they expire.
+ * Queue of invocations, released by descending priority, then in order of arrival. Invocations are
+ * grouped by function, so that the cost of a release round depends on how many can be released, not
+ * on how many are queued. Two further indexes are sorted by expiry time.
  */
 public final class PendingQueue {
 
@@ -33,7 +33,7 @@
     return Comparator.comparing(moment).thenComparingLong(invocation -> invocation.queueSequence);
   }
 
-  /** Adds one that is not in the queue. */
+  /** Adds an invocation that is not in the queue. */
   public void add(InvocationState invocation) {
     invocation.queueSequence = ++lastSequence;
     byFunction
@@ -44,7 +44,7 @@
     invocation.function.queued++;
   }
 
-  /** Removes an invocation; does nothing for one that is not in the queue. */
+  /** Removes an invocation; does nothing if it is not in the queue. */
   public void remove(InvocationState invocation) {
     if (invocation.queueSequence == 0) {
       return;
@@ -60,19 +60,19 @@
     invocation.queueSequence = 0;
   }
 
-  /** Whether nothing is queued. */
+  /** Returns whether the queue is empty. */
   public boolean isEmpty() {
     return byObjectiveDeadline.isEmpty();
   }
 
   /**
-   * Visits the first invocation of each function in the order of release, and each next of a
-   * function where the visitor says so. Meanwhile the function's {@code queued} counts those passed
-   * over only, so that a visitor sees what is ahead of an invocation; one that leaves the queue is
-   * subtracted by its removal.
+   * Visits the first invocation of each function, in release order, and then each next one of the
+   * function as long as the visitor returns true. During the visit, the function's {@code queued}
+   * counts only the invocations that were visited and remain in the queue, so that the visitor sees
+   * how many are ahead of an invocation.
    *
-   * @param visitor may remove the visited invocation; returns whether the next of its function is
-   *     worth a visit
+   * @param visitor may remove the visited invocation; returns whether to visit the next one of its
+   *     function
    */
   public void visitInOrder(Predicate<InvocationState> visitor) {
     PriorityQueue<InvocationState> heads = new PriorityQueue<>(RELEASE_ORDER);
@@ -103,11 +103,12 @@
   }
 
   /**
-   * The invocations not worth queueing any longer, in the order of release.
+   * Returns the expired invocations in release order.
    *
-   * @param answerAt when an answer could come at the earliest: expired is what would be too late
-   *     then
-   * @param now expired is what was to be queued until before now, unless a load was ordered for it
+   * @param answerAt the earliest time at which an answer could arrive; an invocation whose {@code
+   *     objectiveDeadline} is before it has expired
+   * @param now an invocation whose {@code queueUntil} is before it has expired, too, unless a load
+   *     was ordered for it
    */
   public List<InvocationState> expired(Moment answerAt, Moment now) {
     List<InvocationState> expired = new ArrayList<>(0);
--- a/src/main/java/flintlead/scheduling/state/SchedulerState.java
+++ b/src/main/java/flintlead/scheduling/state/SchedulerState.java
@@ -8,7 +8,10 @@
 import flintlead.time.Moment;
 import java.util.Random;
 
-/** What the parts of one gateway's scheduler share. Used from the gateway's event loop only. */
+/**
+ * State shared by the parts of one gateway's scheduler. Not thread-safe; used on the gateway's
+ * event loop only.
+ */
 public final class SchedulerState {
 
   public final SchedulerContext context;
@@ -18,16 +21,16 @@
   public final FunctionTable functions;
   public final LoadOrders loadOrders = new LoadOrders();
 
-  /** Whether new work may be sent to a host. */
+  /** Leases that decide whether new work may be sent to a host. */
   public final HostLeases leases;
 
-  /** Gateways that share the hosts, at least as many as configured. */
+  /** Number of gateways that share the hosts; at least the configured number. */
   public int gateways;
 
-  /** Pairs of function and host for which own loads are in flight. */
+  /** Number of function and host pairs with loads of this gateway in flight. */
   public int loadsInFlight;
 
-  /** Creates the state of a gateway that knows no host yet. */
+  /** Creates the state of a gateway that knows no hosts yet. */
   public SchedulerState(
       SchedulerContext context,
       Deployment deployment,
@@ -43,7 +46,7 @@
     this.gateways = Math.max(1, deployment.gateways());
   }
 
-  /** The gateway's clock. */
+  /** Returns the current time of the gateway's clock. */
   public Moment now() {
     return context.now();
   }
@@ -58,7 +61,7 @@
     return invocation;
   }
 
-  /** Counts an attempt that is sent now. */
+  /** Creates an attempt that is sent now and counts it as in flight. */
   public Attempt newAttempt(InvocationState invocation, Host host, boolean warm) {
     InstanceEstimate estimate = invocation.function.getOrCreateEstimate(host);
     Attempt attempt = new Attempt(invocation, host, estimate, now(), warm);
@@ -73,7 +76,7 @@
     return attempt;
   }
 
-  /** Counts an attempt as ended. */
+  /** Removes an attempt that ended from the counts of attempts in flight. */
   public void attemptEnded(Attempt attempt) {
     Host host = attempt.host;
     host.inFlight--;
@@ -83,7 +86,8 @@
   }
 
   /**
-   * A load that ended, or that a silent host will not end, no longer stands in the way of others.
+   * Removes an attempt from the loads in flight when it ended or its host is silent, so that it
+   * does not block further loads. Does nothing for an attempt that is not counted.
    */
   public void loadEnded(Attempt attempt) {
     if (attempt.countsAsLoad) {
@@ -95,7 +99,8 @@
   }
 
   /**
-   * Passes on the instances observed here: what peers observed would go in a circle and stay young.
+   * Passes this gateway's own observations of loaded instances to the consumer. Those learned from
+   * peers are left out: they would circulate among the gateways and never expire.
    */
   public void exportObservations(ObservationConsumer consumer) {
     Moment now = now();
--- a/src/main/java/flintlead/scheduling/state/SlidingWindowCounter.java
+++ b/src/main/java/flintlead/scheduling/state/SlidingWindowCounter.java
@@ -8,12 +8,12 @@
 
   private final ArrayDeque<Moment> events = new ArrayDeque<>();
 
-  /** Adds an event, not before those added already. */
+  /** Adds an event; its time must not be before that of an event added earlier. */
   public void add(Moment at) {
     events.addLast(at);
   }
 
-  /** How many events lie at or after the start of the window; earlier ones are dropped. */
+  /** Returns the number of events at or after the start of the window; drops earlier ones. */
   public int countSince(Moment windowStart) {
     while (!events.isEmpty() && events.peekFirst().isBefore(windowStart)) {
       events.removeFirst();
--- a/src/main/java/flintlead/scheduling/state/SpillBudget.java
+++ b/src/main/java/flintlead/scheduling/state/SpillBudget.java
@@ -1,32 +1,32 @@
 package flintlead.scheduling.state;
 
 /**
- * How many more times a function that is loaded already may be loaded elsewhere because its hosts
- * have no capacity. A load takes its host more time than many answers do and may push out another
- * function; beyond a share of the answers, such loads cost more capacity than they find, and the
- * lack that they cause brings about the next ones. The same as a retry budget, for loads.
+ * Limits spills: loads of a function at a further host because the hosts that have it loaded are
+ * out of capacity. A load takes its host more time than many answers do and may evict another
+ * function. If there are too many spills per answer, they cost more capacity than they gain, and
+ * the shortage causes further spills. Works for loads as a retry budget does for retries.
  */
 public final class SpillBudget {
 
-  /** Loads earned by each successful answer. */
+  /** Spills credited for each successful answer. */
   private static final double EARNED_BY_ANSWER = 0.05;
 
-  /** Loads that may be saved up; it begins with as many. */
+  /** Maximum and initial number of spills available. */
   private static final double MAX_SAVED = 10;
 
   private double saved = MAX_SAVED;
 
-  /** A successful answer came. */
+  /** Credits the budget for a successful answer. */
   public void earn() {
     saved = Math.min(MAX_SAVED, saved + EARNED_BY_ANSWER);
   }
 
-  /** Whether one more may begin. */
+  /** Returns whether another spill may begin. */
   public boolean isAvailable() {
     return saved >= 1;
   }
 
-  /** One has begun. */
+  /** Charges the budget for a spill that begins. */
   public void spend() {
     saved = Math.max(0, saved - 1);
   }
--- a/src/main/java/flintlead/scheduling/state/SpreadGossip.java
+++ b/src/main/java/flintlead/scheduling/state/SpreadGossip.java
@@ -4,23 +4,24 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** Sends changed replica targets to random peers, several functions in one message. */
+/** Sends changed replica targets to random peers, several functions per message. */
 public final class SpreadGossip {
 
   private final SchedulerState state;
   private final Set<FunctionState> changed = new LinkedHashSet<>();
 
-  /** Creates it for one gateway. */
+  /** Creates the gossip sender of one gateway. */
   public SpreadGossip(SchedulerState state) {
     this.state = state;
   }
 
   /**
-   * Schedules a message if the replica target has changed enough since it was last sent.
+   * Schedules a message if the replica target of the function has changed enough since it was last
+   * sent.
    *
-   * @param factor the change, up or down, from which a target is sent
-   * @param delay how long further changes are collected
-   * @param fanout peers that a message is sent to
+   * @param factor minimum ratio of a change, up or down, for a target to be sent
+   * @param delay how long further changes are collected before sending
+   * @param fanout number of times that a message is sent, each to a random peer
    */
   public void offer(FunctionState function, double factor, Span delay, int fanout) {
     double change = function.replicaTarget / function.gossipedReplicaTarget;
--- a/src/main/java/flintlead/scheduling/state/SpreadGossipCodec.java
+++ b/src/main/java/flintlead/scheduling/state/SpreadGossipCodec.java
@@ -5,9 +5,9 @@
 import java.util.function.BiConsumer;
 
 /**
- * The message by which gateways tell each other over how many hosts functions are spread: a version
- * byte, then six bytes for each function (the lowest 40 bits of its id, then the replica target in
- * thirds of a host).
+ * Encodes and decodes the message in which gateways exchange the replica targets of functions: a
+ * version byte, then six bytes for each function (the lowest 40 bits of its id, then the replica
+ * target in thirds of a host).
  */
 public final class SpreadGossipCodec {
 
@@ -20,7 +20,7 @@
 
   private SpreadGossipCodec() {}
 
-  /** Encodes the first of the functions, as many as fit into one message. */
+  /** Encodes the functions in iteration order, as many as fit into one message. */
   public static byte[] encode(Collection<FunctionState> functions) {
     int count = Math.min(MAX_FUNCTIONS, functions.size());
     ByteBuffer message = ByteBuffer.allocate(1 + ENTRY_BYTES * count).put(VERSION);
@@ -36,7 +36,7 @@
   }
 
   /**
-   * Decodes a message; one of another version or length is ignored.
+   * Decodes a message; a message of another version or of invalid length is ignored.
    *
    * @param consumer called with each function's id and replica target
    */
