--- a/src/main/java/flintlead/scheduling/api/Deployment.java
+++ b/src/main/java/flintlead/scheduling/api/Deployment.java
@@ -4,38 +4,41 @@
 import java.util.List;
 
 /**
- * The facts that a gateway knows at startup. A scheduling policy need not use them all.
+ * Settings of the deployment that a gateway knows at startup. A scheduling policy need not use all
+ * of them.
  *
- * @param index this gateway's number among the gateways, from 0
- * @param gateways how many gateways share the hosts
- * @param zone the zone this gateway is in
+ * @param index index of this gateway among the gateways, from 0
+ * @param gateways number of gateways that share the hosts
+ * @param zone zone of this gateway
  * @param tick resolution of the clock
- * @param hostsOnRequest whether the host list has to be subscribed to
- * @param customerQuotas invocations a second of each customer, over all gateways
- * @param answerSlack how late an answer may be
- * @param firstAttemptWithin time within which the first attempt is due; zero for none
- * @param slowStartFraction share of its capacity that a host has at its start
- * @param slowStartDuration time from its start until it has all of it
- * @param overloadFactor multiple of its capacity at which a host falls over
- * @param overloadWindow how long it bears that
- * @param attemptLimit attempts that an invocation may make
- * @param supportsCancellation whether hosts can cancel attempts
- * @param supportsHedging whether two attempts may be in flight at once
+ * @param hostsOnRequest whether the gateway must subscribe to the host list
+ * @param customerQuotas invocations per second that each customer may send, over all gateways
+ * @param answerSlack how long after its deadline an invocation may still be answered
+ * @param firstAttemptWithin time within which the first attempt must be sent; zero for no limit
+ * @param slowStartFraction share of its full capacity that a host has when its process starts
+ * @param slowStartDuration time from its start until a host has its full capacity
+ * @param overloadFactor multiple of its capacity at which a host fails
+ * @param overloadWindow how long a host withstands such an overload
+ * @param attemptLimit maximum number of attempts per invocation
+ * @param supportsCancellation whether attempts can be cancelled at hosts
+ * @param supportsHedging whether an invocation may have two attempts in flight at once
  * @param supportsProbes whether hosts send load reports on request
  * @param supportsPeers whether gateways can send messages to each other
- * @param supportsRetryAfter whether a rejection can carry advice when to retry
- * @param maxRetryAfter the longest such advice
- * @param hostLoadsOnMiss whether a host loads a function that it does not hold, rather than answer
- *     a miss
- * @param supportsLoadOrders whether hosts take load orders
- * @param reportsWarm whether answers tell how an instance was found
- * @param reportsConcurrency whether answers tell how many other invocations of the function run
- * @param instanceKeepAlive shortest time that hosts keep an unused instance
- * @param loadTimeout after this time a load order has failed
- * @param loadOrderWindow the window that load orders are limited over; zero for no limit
- * @param loadOrderBurst load orders allowed in a window
- * @param loadOrderShare further load orders allowed, per invocation in the window
- * @param reportNames the load figures that hosts report, in order
+ * @param supportsRetryAfter whether a rejection can tell the client when to retry
+ * @param maxRetryAfter the longest retry delay that a rejection can carry
+ * @param hostLoadsOnMiss whether a host loads a function that it does not have loaded, instead of
+ *     answering MISS
+ * @param supportsLoadOrders whether hosts accept load orders
+ * @param reportsWarm whether answers report if the invocation found a loaded instance
+ * @param reportsConcurrency whether answers report how many other invocations of the function the
+ *     host runs
+ * @param instanceKeepAlive minimum time for which hosts keep an unused instance
+ * @param loadTimeout time after which a load order counts as failed
+ * @param loadOrderWindow length of the sliding window over which load orders are limited; zero for
+ *     no limit
+ * @param loadOrderBurst load orders always allowed in a window
+ * @param loadOrderShare further load orders allowed for each invocation in the window
+ * @param reportNames names of the load figures that hosts report, in order
  */
 public record Deployment(
     int index,
@@ -69,12 +72,12 @@
     double loadOrderShare,
     List<String> reportNames) {
 
-  /** The largest billed value of all trigger types; 0 where there are none. */
+  /** Returns the largest billed value of all trigger types, or 0 if there are none. */
   public double highestBilledValue() {
     return triggerTypes.stream().mapToDouble(TriggerType::billedValue).max().orElse(0);
   }
 
-  /** The shortest latency objective of all trigger types; zero where there are none. */
+  /** Returns the shortest latency objective of all trigger types, or zero if there are none. */
   public Span shortestObjective() {
     return triggerTypes.stream()
         .map(TriggerType::latencyObjective)
@@ -82,7 +85,7 @@
         .orElse(Span.ZERO);
   }
 
-  /** The advice when to retry, as far as it can be given. */
+  /** Limits a retry delay to what a rejection can carry; zero if it can carry none. */
   public Span boundRetryAfter(Span wanted) {
     return supportsRetryAfter ? Span.shorter(wanted, maxRetryAfter) : Span.ZERO;
   }
--- a/src/main/java/flintlead/scheduling/api/HostEntry.java
+++ b/src/main/java/flintlead/scheduling/api/HostEntry.java
@@ -3,13 +3,13 @@
 import flintlead.time.Moment;
 
 /**
- * One host as the host list has it.
+ * Entry of one host in the host list.
  *
- * @param host its number
- * @param startedAt when its process started; zero for a start in the distant past
- * @param weight its share of the load, relative to other hosts
- * @param pools those it belongs to, a bit for each number from 0 to 62; all bits where there are
- *     none
+ * @param host id of the host
+ * @param startedAt when the process of the host started; zero for a start in the distant past
+ * @param weight share of the load relative to other hosts
+ * @param pools bit set of the pools that the host belongs to, numbered from 0 to 62; all bits are
+ *     set if the deployment has no pools
  */
 public record HostEntry(
     long host,
@@ -23,30 +23,30 @@
 
   private static final long ALL_POOLS = -1L;
 
-  /** What the list says of a host. */
+  /** State of a host in the host list. */
   public enum State {
     READY,
     DRAINING,
     GONE
   }
 
-  /** A host where there are no pools. */
+  /** Creates an entry for a deployment without pools. */
   public HostEntry(
       long host, int zone, int cell, int kind, State state, Moment startedAt, double weight) {
     this(host, zone, cell, kind, state, startedAt, weight, ALL_POOLS);
   }
 
-  /** Whether invocations of the pool may go there. */
+  /** Returns whether the host belongs to the pool, so that its invocations may be sent there. */
   public boolean serves(int pool) {
     return (pools >>> pool & 1) != 0;
   }
 
-  /** The same host in another state. */
+  /** Returns a copy with another state. */
   public HostEntry with(State newState) {
     return new HostEntry(host, zone, cell, kind, newState, startedAt, weight, pools);
   }
 
-  /** The same host with another start. */
+  /** Returns a copy with another start time of the process. */
   public HostEntry startedAt(Moment newStart) {
     return new HostEntry(host, zone, cell, kind, state, newStart, weight, pools);
   }
--- a/src/main/java/flintlead/scheduling/api/HostRemark.java
+++ b/src/main/java/flintlead/scheduling/api/HostRemark.java
@@ -1,10 +1,10 @@
 package flintlead.scheduling.api;
 
 /**
- * What a host says beside its answer.
+ * Information on loads and concurrency that a host adds to an answer.
  *
- * @param note one of the wire's note codes
- * @param concurrency other invocations of the function that the host has in flight
+ * @param note note code of the wire protocol
+ * @param concurrency number of other invocations of the function in flight at the host
  */
 public record HostRemark(int note, int concurrency) {
 
@@ -13,22 +13,24 @@
   private static final int LOAD_STARTED = 2;
   private static final int LOAD_FAILED = 4;
 
-  /** Decodes the wire's form: the note in the lowest three bits, the concurrency above. */
+  /**
+   * Decodes the wire format: the note in the lowest three bits, the concurrency in the bits above.
+   */
   public static HostRemark decode(int remark) {
     return new HostRemark(remark & NOTE_MASK, remark >> NOTE_BITS);
   }
 
-  /** Whether the invocation started a load. */
+  /** Returns whether the invocation started a load. */
   public boolean loadStarted() {
     return note == LOAD_STARTED;
   }
 
-  /** Whether the load that the invocation needed failed. */
+  /** Returns whether the load that the invocation needed failed. */
   public boolean loadFailed() {
     return note == LOAD_FAILED;
   }
 
-  /** Whether the invocation had anything to do with a load. */
+  /** Returns whether the invocation started a load, waited for one, or needed one that failed. */
   public boolean loadInvolved() {
     return note >= LOAD_STARTED;
   }
--- a/src/main/java/flintlead/scheduling/api/InvocationHandle.java
+++ b/src/main/java/flintlead/scheduling/api/InvocationHandle.java
@@ -2,16 +2,16 @@
 
 import flintlead.time.Span;
 
-/** One submitted invocation: all that happens to it afterwards. */
+/** Receives the events of one submitted invocation. */
 public interface InvocationHandle {
 
   /**
-   * An attempt ended. A second call for the same attempt does nothing.
+   * An attempt ended. Further calls for the same attempt are ignored.
    *
-   * @param attempt its number, from 0
-   * @param elapsed since it was sent
+   * @param attempt number of the attempt, from 0
+   * @param elapsed time since the attempt was sent
    * @param last whether the client already has its final answer
-   * @param remark what the host said beside its answer, as {@link HostRemark} encodes it
+   * @param remark the encoded {@link HostRemark} of the host
    * @param report the host's load figures in the order of {@link Deployment#reportNames}; may be
    *     empty
    */
@@ -21,12 +21,14 @@
   /** The streamed response of an attempt began. */
   void responseStarted(int attempt, Span elapsed);
 
-  /** The client left. */
+  /** The client disconnected. */
   void clientDisconnected();
 
-  /** The final answer is wanted now, as the gateway stops; does nothing where it was given. */
+  /**
+   * Gives the final answer now, as the gateway is stopping; does nothing if it was already given.
+   */
   void abandon();
 
-  /** Whether nothing more can happen, so that the handle may be forgotten. */
+  /** Returns whether no further events can follow, so that the handle may be dropped. */
   boolean isFinished();
 }
--- a/src/main/java/flintlead/scheduling/api/InvocationSpec.java
+++ b/src/main/java/flintlead/scheduling/api/InvocationSpec.java
@@ -3,20 +3,20 @@
 import flintlead.time.Span;
 
 /**
- * What a gateway is told of an invocation when it is submitted. Spans and sizes are zero where they
- * are not told.
+ * Description of an invocation at its submission. Durations and sizes are zero if not given.
  *
  * @param triggerType index in {@link Deployment#triggerTypes}
- * @param customer index in {@link Deployment#customerQuotas}; any larger number for none
+ * @param customer index in {@link Deployment#customerQuotas}; any larger number if the customer has
+ *     no quota
  * @param function the function's id
- * @param timeout the client's timeout, from now
+ * @param timeout the client's timeout, counted from the submission
  * @param workHint expected run time
- * @param hasWorkHint whether {@code workHint} was told
+ * @param hasWorkHint whether {@code workHint} was given
  * @param memoryMb memory of one instance, in megabytes
- * @param slotsPerInstance invocations that one instance runs at a time
+ * @param slotsPerInstance invocations that one instance runs concurrently
  * @param loadHint expected time to load an instance
- * @param clientRetry whether the client says that it sent the invocation before
- * @param pool the number of the only pool whose hosts it may go to
+ * @param clientRetry whether the client marked the invocation as a retry
+ * @param pool number of the pool that serves the invocation; it is sent to no other hosts
  */
 public record InvocationSpec(
     int triggerType,
@@ -31,7 +31,7 @@
     boolean clientRetry,
     int pool) {
 
-  /** The same invocation with another timeout. */
+  /** Returns a copy with another timeout. */
   public InvocationSpec withTimeout(Span other) {
     return new InvocationSpec(
         triggerType,
@@ -47,7 +47,7 @@
         pool);
   }
 
-  /** An invocation where there are no pools. */
+  /** Creates an invocation for a deployment without pools. */
   public InvocationSpec(
       int triggerType,
       int customer,
--- a/src/main/java/flintlead/scheduling/api/Outcome.java
+++ b/src/main/java/flintlead/scheduling/api/Outcome.java
@@ -1,30 +1,31 @@
 package flintlead.scheduling.api;
 
-/**
- * How an attempt, a load report or a load order ended, and whether that proves that nothing ran.
- */
+/** How an attempt, a probe or a load order ended, and whether the function may have run. */
 public enum Outcome {
-  /** Served. */
+  /** The host served the request. */
   OK(true),
   /** The host answered with an error. */
   ERROR(true),
   /** The host refused for lack of capacity. */
   FULL(false),
-  /** No answer in time. */
+  /** No answer arrived in time. */
   TIMEOUT(true),
   /** No connection could be opened. */
   CONNECT_FAILED(false),
-  /** The connection broke, and the host was not heard of since. */
+  /** The connection broke, and nothing has been received from the host since. */
   RESET(true),
   /** Cancelled after it was sent. */
   CANCELLED(true),
   /** Withdrawn before it was sent. */
   WITHDRAWN(false),
-  /** The host does not hold the function. */
+  /** The host does not have the function loaded. */
   MISS(false),
-  /** The connection broke, but the host lives: it may have run, and the host may be tried again. */
+  /**
+   * The connection broke, but the host is alive. The function may have run, and the host may be
+   * tried again.
+   */
   CONNECTION_LOST(true),
-  /** Never sent: nothing has proven in time that the host takes new work. */
+  /** Never sent, as there was no proof in time that the host accepts new work. */
   UNPROVEN(false);
 
   private final boolean mayHaveRun;
@@ -33,12 +34,12 @@
     this.mayHaveRun = mayHaveRun;
   }
 
-  /** Whether nothing proves that it did not run. */
+  /** Returns false only if the outcome proves that the function did not run. */
   public boolean mayHaveRun() {
     return mayHaveRun;
   }
 
-  /** Whether the host answered. */
+  /** Returns whether the host answered. */
   public boolean isAnswer() {
     return this == OK || this == ERROR || this == FULL || this == MISS;
   }
--- a/src/main/java/flintlead/scheduling/api/SchedulerContext.java
+++ b/src/main/java/flintlead/scheduling/api/SchedulerContext.java
@@ -5,39 +5,43 @@
 import flintlead.time.Span;
 
 /**
- * What a scheduling policy asks of its gateway. Every call takes effect at {@link #now()}; answers
- * come back later as calls on {@link SchedulingPolicy} and {@link InvocationHandle}.
+ * Operations that a gateway offers to its scheduling policy. Each call takes effect at {@link
+ * #now()}. Results are reported later, by calls on {@link SchedulingPolicy} and {@link
+ * InvocationHandle}.
  */
 public interface SchedulerContext {
 
-  /** The time of the current event; the same for all of it. */
+  /** Returns the time of the current event; constant while the event is processed. */
   Moment now();
 
   /**
-   * Sends an attempt of the invocation to the host. Attempts are numbered 0, 1, 2 in the order of
-   * these calls.
+   * Sends an attempt of the invocation to the host. Attempts of an invocation are numbered 0, 1, 2
+   * in the order of these calls.
    *
-   * @param abandonAt when the host may stop working on it
+   * @param abandonAt time after which the host may stop working on it
    */
   void dispatch(long invocation, long host, Moment abandonAt);
 
-  /** Cancels an attempt; its end is still reported. */
+  /** Cancels an attempt. Its end is still reported. */
   void cancel(long invocation, int attempt);
 
   /**
-   * Final answer: rejected, it did not run and a retry is harmless.
+   * Gives the final answer: rejected. The client may safely retry.
    *
-   * @param retryAfter when the client had best retry; zero for no advice
+   * @param retryAfter time after which the client should retry; zero to leave it to the client
    */
   void throttle(long invocation, Span retryAfter);
 
-  /** Final answer: failed, it may have run. */
+  /** Gives the final answer: failed. The function may have run. */
   void fail(long invocation);
 
-  /** Orders a host to hold at least that many instances of the function; 0 only asks. */
+  /**
+   * Orders a host to have at least that many instances of the function loaded; 0 only queries how
+   * many are loaded.
+   */
   void load(long host, long function, int instances);
 
-  /** Allows a host to drop an idle instance of the function. */
+  /** Allows a host to unload an idle instance of the function. */
   void unload(long host, long function);
 
   /** Requests a load report from the host. */
@@ -59,12 +63,12 @@
   void broadcastGossip(byte[] message);
 
   /**
-   * Schedules a call; the returned call cancels it, so that a timer does not retain what it was
-   * for.
+   * Schedules a task. Running the returned object cancels it, so that the timer no longer retains
+   * the objects that the task refers to.
    */
   Runnable schedule(Moment when, Runnable then);
 
-  /** The leases of the hosts; by default the host list is always current. */
+  /** Returns the leases of the hosts. By default the host list always counts as current. */
   default HostLeases leases() {
     return HostLeases.ofAuthoritativeList();
   }
--- a/src/main/java/flintlead/scheduling/api/SchedulingPolicy.java
+++ b/src/main/java/flintlead/scheduling/api/SchedulingPolicy.java
@@ -5,22 +5,22 @@
 
 /**
  * Decides where and when the invocations of one gateway run. Called on the gateway's event loop
- * only, one call at a time. What happens to a submitted invocation is told through its {@link
+ * only, one call at a time. Events of a submitted invocation are reported to its {@link
  * InvocationHandle}.
  */
 public interface SchedulingPolicy {
 
   /**
-   * Takes charge of an invocation, which gets exactly one final answer unless its client leaves.
+   * Accepts an invocation, which gets exactly one final answer unless its client disconnects.
    *
-   * @param invocation its number, not used before in this gateway
+   * @param invocation id of the invocation, not used before in this gateway
    */
   InvocationHandle submit(long invocation, InvocationSpec spec);
 
-  /** Replaces the host list: a host that is missing has left. */
+  /** Replaces the host list. Hosts that are missing from it have left. */
   void replaceHosts(List<HostEntry> hosts);
 
-  /** Adds or changes hosts. */
+  /** Adds hosts or updates their entries. */
   void updateHosts(List<HostEntry> hosts);
 
   /** A request for the host list failed, or the subscription to it ended. */
@@ -29,24 +29,35 @@
   /**
    * A load order ended.
    *
-   * @param elapsed since it was sent
-   * @param instances loaded now; 0 where the host does not say
+   * @param elapsed time since the order was sent
+   * @param instances number of instances now loaded; 0 if the host does not report it
    */
   void loadCompleted(long host, long function, Outcome outcome, Span elapsed, int instances);
 
-  /** A load-report request ended; policies that send none need not listen. */
+  /** A probe ended. A policy that sends no probes need not override this. */
   default void probeCompleted(long host, Outcome outcome, Span elapsed, float[] report) {}
 
-  /** A message from the same policy in another gateway; policies that send none need not listen. */
+  /**
+   * A message arrived from the policy of another gateway. A policy that sends none need not
+   * override this.
+   */
   default void gossipReceived(int gateway, byte[] message) {}
 
-  /** How many gateways live or may live, as far as this one knows. */
+  /**
+   * The number of gateways that are alive or may be alive, as far as this gateway knows, changed.
+   */
   default void gatewayCountChanged(int count) {}
 
-  /** A peer observed that instances were loaded that long ago; told once, after a start. */
+  /**
+   * A peer reported instances that it last saw loaded {@code age} ago. Each is reported once, after
+   * this gateway has started.
+   */
   default void mergeObservation(long host, long function, int instances, Span age) {}
 
-  /** Passes on what this gateway observed itself, for a peer that has just started. */
+  /**
+   * Passes this gateway's own observations of loaded instances to the consumer, for a peer that has
+   * just started.
+   */
   default void exportObservations(ObservationConsumer consumer) {}
 
   /** Receives observations of loaded instances. */
--- a/src/main/java/flintlead/scheduling/api/SchedulingPolicyFactory.java
+++ b/src/main/java/flintlead/scheduling/api/SchedulingPolicyFactory.java
@@ -6,9 +6,9 @@
   /**
    * Creates a policy.
    *
-   * @param context what the policy may ask of its gateway; called within this call, too
-   * @param deployment the facts known at startup
-   * @param seed of every random choice, so that a run can be repeated
+   * @param context operations of the gateway; the policy may call them already while it is created
+   * @param deployment settings known at startup
+   * @param seed seed of all random choices, so that a run can be repeated
    */
   SchedulingPolicy create(SchedulerContext context, Deployment deployment, long seed);
 }
--- a/src/main/java/flintlead/scheduling/api/TriggerType.java
+++ b/src/main/java/flintlead/scheduling/api/TriggerType.java
@@ -3,13 +3,14 @@
 import flintlead.time.Span;
 
 /**
- * A row of the table of trigger types.
+ * Settings of one trigger type.
  *
- * @param latencyObjective time within which an answer earns its value
- * @param billedValue what an invocation served in time earns, relative to other types
- * @param effect what a second run of the same invocation does
- * @param group which hosts recognise a repeated idempotency key
- * @param window how long they recognise it
+ * @param latencyObjective time within which an invocation must be answered for its value to be
+ *     billed
+ * @param billedValue value of an invocation that is answered in time, relative to other types
+ * @param effect whether the same invocation may run twice
+ * @param group the hosts that recognise a repeated idempotency key
+ * @param window how long these hosts recognise the key
  * @param streaming whether responses are streamed
  */
 public record TriggerType(
@@ -20,23 +21,23 @@
     Span window,
     boolean streaming) {
 
-  /** What a second run of the same invocation does. */
+  /** Whether the same invocation may run twice. */
   public enum Effect {
-    /** No harm. */
+    /** A second run is harmless. */
     IDEMPOTENT,
-    /** No harm where an idempotency key is recognised. */
+    /** A second run is harmless at hosts that recognise the idempotency key. */
     TOKENED,
-    /** Harm. */
+    /** A second run is harmful. */
     NON_IDEMPOTENT
   }
 
-  /** Which hosts recognise the idempotency key of an invocation that went to one of them. */
+  /** Hosts that recognise the idempotency key of an invocation that was sent to one of them. */
   public enum Group {
     ALL,
     ZONE,
     CELL;
 
-    /** Whether both hosts are in one group. */
+    /** Returns whether both hosts belong to the same group. */
     public boolean covers(HostEntry one, HostEntry other) {
       return switch (this) {
         case ALL -> true;
--- a/src/main/java/flintlead/scheduling/api/package-info.java
+++ b/src/main/java/flintlead/scheduling/api/package-info.java
@@ -1,2 +1,5 @@
-/** What a scheduling policy is told by its gateway and asks of it. No I/O, clock or thread. */
+/**
+ * Interfaces and data types between a gateway and its scheduling policy. They use no I/O, clock or
+ * thread.
+ */
 package flintlead.scheduling.api;
