--- a/src/main/java/flintlead/benchlink/BenchLink.java
+++ b/src/main/java/flintlead/benchlink/BenchLink.java
@@ -20,9 +20,10 @@
 import java.util.Map;
 
 /**
- * The simulator's wire: reads a batch of events, calls the instance each is for, and writes the
- * reply. Events are decoded field by field straight into calls; the simulator's numbers and codes
- * are known in this package only.
+ * Adapter to the simulator's wire protocol: reads batches of events, passes each event to the
+ * gateway instance that it is addressed to, and writes a reply to each batch. Events are decoded
+ * field by field directly into calls. Only this package knows the protocol's instance numbers and
+ * codes.
  */
 public final class BenchLink {
 
@@ -46,7 +47,7 @@
     }
   }
 
-  /** Answers batches until the input ends. */
+  /** Processes batches and writes their replies until the input ends. */
   public void run() throws IOException, MalformedFrameException {
     byte[] header = new byte[HEADER];
     while (readHeader(header)) {
@@ -151,8 +152,8 @@
   }
 
   /**
-   * Reads the fields of one event and gives back the call they go into, so that its failures tell
-   * apart.
+   * Reads the fields of one event and returns the call to make with them. Reading and calling are
+   * separate steps, so that a malformed event can be told from an exception of the scheduler.
    */
   private Runnable decode(int code, int number, Instance instance, ByteBuffer in, Moment clock) {
     instance.advanceTo(clock);
--- a/src/main/java/flintlead/benchlink/Instance.java
+++ b/src/main/java/flintlead/benchlink/Instance.java
@@ -17,8 +17,8 @@
 import java.util.Map;
 
 /**
- * One gateway on the wire: encodes what its decisions ask for, and finds the handle or timer an
- * event is for.
+ * One gateway instance of the simulation: encodes the actions of its scheduler, and finds the
+ * invocation handle or timer that an event refers to.
  */
 final class Instance implements SchedulerContext {
 
@@ -133,8 +133,9 @@
   }
 
   /**
-   * The decisions answer outside a call on the handle, too; one with nothing in flight hears no
-   * more.
+   * Drops the handle of an answered invocation. The scheduler also gives final answers outside
+   * calls on the handle, and an invocation without attempts in flight gets no further event that
+   * would drop it.
    */
   private void forgetAnswered(long invocation) {
     InvocationHandle handle = handles.get(invocation);
--- a/src/main/java/flintlead/benchlink/MalformedFrameException.java
+++ b/src/main/java/flintlead/benchlink/MalformedFrameException.java
@@ -1,8 +1,8 @@
 package flintlead.benchlink;
 
 /**
- * The input is not what the wire page describes; the message names the record, its offset and what
- * is wrong.
+ * Thrown if the input does not follow the wire protocol. The message names the batch, the record,
+ * its offset and the problem, as far as they are known.
  */
 public final class MalformedFrameException extends Exception {
 
--- a/src/main/java/flintlead/benchlink/Reply.java
+++ b/src/main/java/flintlead/benchlink/Reply.java
@@ -4,7 +4,7 @@
 import java.nio.ByteOrder;
 import java.util.Arrays;
 
-/** The records of one reply, growing as actions are encoded. */
+/** Buffer for the records of one reply; it grows as actions are encoded. */
 final class Reply {
 
   private static final int HEADER = 12;
@@ -19,8 +19,8 @@
   }
 
   /**
-   * Starts a record of at most {@code size} bytes; its fields follow by {@code put} calls on what
-   * is returned.
+   * Starts a record of at most {@code size} bytes; the caller puts its fields into the returned
+   * buffer.
    */
   ByteBuffer record(int code, int instance, int size) {
     if (bytes.remaining() < size) {
--- a/src/main/java/flintlead/benchlink/package-info.java
+++ b/src/main/java/flintlead/benchlink/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The simulator's wire: batches of events on standard input, the scheduler's actions on standard
- * output.
+ * Adapter to a simulator: reads batches of events from standard input and writes the scheduler's
+ * actions to standard output.
  */
 package flintlead.benchlink;
--- a/src/test/java/flintlead/bench/HotPaths.java
+++ b/src/test/java/flintlead/bench/HotPaths.java
@@ -22,7 +22,9 @@
 import org.openjdk.jmh.runner.RunnerException;
 import org.openjdk.jmh.runner.options.OptionsBuilder;
 
-/** What one invocation costs in the places that each one passes. Not in CI; run its main. */
+/**
+ * Benchmarks of the code that every invocation passes through. Not part of CI; run the main method.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -69,13 +71,15 @@
     return last;
   }
 
-  /** Fifty functions, warm; 85 hosts. */
+  /** Places and answers an invocation of one of fifty loaded functions, with 85 hosts. */
   @Benchmark
   public long placedAndAnsweredWarm() {
     return few.invoke(function++ % 50);
   }
 
-  /** A function never seen: its walk over 85 hosts is made. */
+  /**
+   * Places and answers an invocation of a new function, which computes its hash walk over 85 hosts.
+   */
   @Benchmark
   public long placedAndAnsweredNew() {
     return many.invoke(function++);
--- a/src/test/java/flintlead/bench/Idle.java
+++ b/src/test/java/flintlead/bench/Idle.java
@@ -13,7 +13,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A gateway without a network, whose hosts answer when told to: the decisions by themselves. */
+/** A scheduler without a network, whose hosts answer at once, to measure scheduling by itself. */
 final class Idle implements SchedulerContext {
 
   private static final Span MINUTE = Span.ofMillis(60_000);
@@ -71,7 +71,10 @@
     scheduler.replaceHosts(list);
   }
 
-  /** One invocation, answered at once by a warm copy. */
+  /**
+   * Submits an invocation, which a loaded instance answers at once if it was sent; returns the
+   * host, or -1 if it was not sent.
+   */
   long invoke(long function) {
     now = now.plus(new Span(200));
     sentTo = -1;
--- a/src/test/java/flintlead/bench/LeaseCost.java
+++ b/src/test/java/flintlead/bench/LeaseCost.java
@@ -11,9 +11,10 @@
 import java.util.Random;
 
 /**
- * What leases cost in an outage of discovery: a model of a fleet with real leases and no network.
- * Each request has a function that some hosts hold; a host whose lease holds goes before one that
- * needs a probe. Run by hand: gateways, hosts, requests a second of all, drained hosts.
+ * Simulates the cost of leases during an outage of discovery: a model of a fleet with the real
+ * lease code and no network. Each request is for a function that some hosts have loaded; a host
+ * with a valid lease is preferred to one that needs a probe first. Run by hand with the arguments:
+ * gateways, hosts, requests per second of all gateways together, drained hosts.
  */
 final class LeaseCost {
 
@@ -38,7 +39,7 @@
     this.probes = new int[hosts][SECONDS];
   }
 
-  /** Plays and prints one line. */
+  /** Runs the simulation and prints one line of results. */
   public static void main(String[] args) {
     int gateways = Integer.parseInt(args[0]);
     int hosts = Integer.parseInt(args[1]);
@@ -65,7 +66,7 @@
     return Moment.START.plus(Span.ofMillis(millis + 1_000));
   }
 
-  /** The more popular functions have lower numbers. */
+  /** Draws a function; lower numbers are more popular. */
   private int drawFunction() {
     return (int) (FUNCTIONS * Math.pow(random.nextDouble(), 3));
   }
@@ -108,7 +109,10 @@
     return ready;
   }
 
-  /** Served work renews; that it is known a little later changes little here. */
+  /**
+   * Renews the lease by served work. The renewal takes effect here when the work is sent instead of
+   * when its answer arrives, which changes the results little.
+   */
   private static void serve(HostLeases leases, int host, double millis) {
     leases.proven(host, at(millis), HostProof.SERVED, at(millis + ANSWER_MILLIS));
   }
--- a/src/test/java/flintlead/bench/Soak.java
+++ b/src/test/java/flintlead/bench/Soak.java
@@ -3,8 +3,8 @@
 import java.util.Random;
 
 /**
- * Ten million invocations of a million function names on one Scheduler, and the heap after each
- * tenth. Not in CI.
+ * Schedules ten million invocations of a million functions on one {@link
+ * flintlead.scheduling.Scheduler} and prints the heap size after each million. Not part of CI.
  */
 public final class Soak {
 
--- a/src/test/java/flintlead/benchlink/BenchLinkTest.java
+++ b/src/test/java/flintlead/benchlink/BenchLinkTest.java
@@ -13,7 +13,7 @@
 import java.util.HexFormat;
 import net.jqwik.api.Example;
 
-/** The wire page's example bytes through the adapter. */
+/** Passes the example bytes of the wire protocol's description through the adapter. */
 class BenchLinkTest {
 
   private static final String LIST =
