--- a/src/main/java/flintlead/scheduling/api/InvocationSpec.java
+++ b/src/main/java/flintlead/scheduling/api/InvocationSpec.java
@@ -16,7 +16,7 @@
  * @param slotsPerInstance invocations that one instance runs concurrently
  * @param loadHint expected time to load an instance
  * @param clientRetry whether the client marked the invocation as a retry
- * @param pool number of the pool that serves the invocation; it is sent to no other hosts
+ * @param pool number of the pool that serves the invocation; it is sent to no newTimeout hosts
  */
 public record InvocationSpec(
     int triggerType,
@@ -32,12 +32,12 @@
     int pool) {
 
   /** Returns a copy with another timeout. */
-  public InvocationSpec withTimeout(Span other) {
+  public InvocationSpec withTimeout(Span newTimeout) {
     return new InvocationSpec(
         triggerType,
         customer,
         function,
-        other,
+        newTimeout,
         workHint,
         hasWorkHint,
         memoryMb,
--- a/src/main/java/flintlead/scheduling/api/SchedulerContext.java
+++ b/src/main/java/flintlead/scheduling/api/SchedulerContext.java
@@ -66,7 +66,7 @@
    * Schedules a task. Running the returned object cancels it, so that the timer no longer retains
    * the objects that the task refers to.
    */
-  Runnable schedule(Moment when, Runnable then);
+  Runnable schedule(Moment when, Runnable task);
 
   /** Returns the leases of the hosts. By default the host list always counts as current. */
   default HostLeases leases() {
--- a/src/main/java/flintlead/scheduling/state/Attempt.java
+++ b/src/main/java/flintlead/scheduling/state/Attempt.java
@@ -50,10 +50,10 @@
     this.countsAsLoad = !warm;
   }
 
-  void end(Outcome how, Span after, HostRemark said) {
-    outcome = how;
-    elapsed = after;
-    remark = said;
+  void end(Outcome finalOutcome, Span totalElapsed, HostRemark hostRemark) {
+    outcome = finalOutcome;
+    elapsed = totalElapsed;
+    remark = hostRemark;
     cancelSilenceCheck.run();
   }
 
--- a/src/main/java/flintlead/scheduling/state/FunctionTable.java
+++ b/src/main/java/flintlead/scheduling/state/FunctionTable.java
@@ -31,13 +31,13 @@
       function = new FunctionState(id);
       functions.put(id, function);
       if (functions.size() > maxFunctions) {
-        forgetOldestIdle(function);
+        evictLeastRecentlyUsedIdle(function);
       }
     }
     return function;
   }
 
-  private void forgetOldestIdle(FunctionState created) {
+  private void evictLeastRecentlyUsedIdle(FunctionState created) {
     Iterator<FunctionState> oldestFirst = functions.values().iterator();
     FunctionState oldest = oldestFirst.next();
     while (oldest.isBusy()) {
--- a/src/main/java/flintlead/scheduling/state/HostTable.java
+++ b/src/main/java/flintlead/scheduling/state/HostTable.java
@@ -63,7 +63,7 @@
       update(entry, started);
     }
     if (hosts.size() > listed.length + maxDeparted) {
-      hosts.values().removeIf(host -> forgetDeparted(host, inUse));
+      hosts.values().removeIf(host -> removeIfUnused(host, inUse));
     }
     listed = hosts.values().stream().filter(host -> host.listed).toArray(Host[]::new);
     ejected = (int) Arrays.stream(listed).filter(host -> host.consecutiveEjections > 0).count();
@@ -83,7 +83,7 @@
     host.listed = entry.state() != HostEntry.State.GONE;
   }
 
-  private static boolean forgetDeparted(Host host, Predicate<Host> inUse) {
+  private static boolean removeIfUnused(Host host, Predicate<Host> inUse) {
     boolean idle = !host.listed && host.inFlight == 0 && !inUse.test(host);
     if (idle) {
       host.forgetEstimates();
--- a/src/main/java/flintlead/scheduling/state/SpillBudget.java
+++ b/src/main/java/flintlead/scheduling/state/SpillBudget.java
@@ -9,25 +9,25 @@
 public final class SpillBudget {
 
   /** Spills credited for each successful answer. */
-  private static final double EARNED_BY_ANSWER = 0.05;
+  private static final double CREDIT_PER_ANSWER = 0.05;
 
   /** Maximum and initial number of spills available. */
-  private static final double MAX_SAVED = 10;
+  private static final double MAX_CREDIT = 10;
 
-  private double saved = MAX_SAVED;
+  private double credit = MAX_CREDIT;
 
   /** Credits the budget for a successful answer. */
   public void earn() {
-    saved = Math.min(MAX_SAVED, saved + EARNED_BY_ANSWER);
+    credit = Math.min(MAX_CREDIT, credit + CREDIT_PER_ANSWER);
   }
 
   /** Returns whether another spill may begin. */
   public boolean isAvailable() {
-    return saved >= 1;
+    return credit >= 1;
   }
 
   /** Charges the budget for a spill that begins. */
   public void spend() {
-    saved = Math.max(0, saved - 1);
+    credit = Math.max(0, credit - 1);
   }
 }
