--- a/src/main/java/flintlead/benchlink/BenchLink.java
+++ b/src/main/java/flintlead/benchlink/BenchLink.java
@@ -27,35 +27,35 @@
  */
 public final class BenchLink {
 
-  private static final int HEADER = 20;
-  private static final int ENTRY = 22;
-  private static final int LISTS = 16;
+  private static final int HEADER_BYTES = 20;
+  private static final int HOST_ENTRY_BYTES = 22;
+  private static final int MAX_HOST_LISTS = 16;
 
   private final DataInputStream in;
   private final OutputStream out;
   private final Reply reply = new Reply();
-  private final Map<Integer, Instance> instances = new HashMap<>();
-  private final List<List<HostEntry>> lists = new ArrayList<>();
+  private final Map<Integer, SimulatedGateway> gateways = new HashMap<>();
+  private final List<List<HostEntry>> hostLists = new ArrayList<>();
   private byte[] body = new byte[1 << 16];
 
   /** Reads events from one stream and writes actions to the other. */
   public BenchLink(InputStream in, OutputStream out) {
     this.in = new DataInputStream(in);
     this.out = out;
-    for (int i = 0; i < LISTS; i++) {
-      lists.add(null);
+    for (int i = 0; i < MAX_HOST_LISTS; i++) {
+      hostLists.add(null);
     }
   }
 
   /** Processes batches and writes their replies until the input ends. */
   public void run() throws IOException, MalformedFrameException {
-    byte[] header = new byte[HEADER];
+    byte[] header = new byte[HEADER_BYTES];
     while (readHeader(header)) {
-      ByteBuffer head = ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN);
-      int length = head.getInt(0);
-      Moment clock = new Moment(head.getLong(4));
-      int records = head.getInt(12);
-      int sequence = head.getInt(16);
+      ByteBuffer fields = ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN);
+      int length = fields.getInt(0);
+      Moment clock = new Moment(fields.getLong(4));
+      int records = fields.getInt(12);
+      int sequence = fields.getInt(16);
       if (length < 0) {
         throw new MalformedFrameException("batch " + sequence + ": its length is negative");
       }
@@ -68,7 +68,7 @@
             "batch " + sequence + ": the input ends after " + got + " of " + length + " bytes");
       }
       reply.begin();
-      answer(
+      processRecords(
           ByteBuffer.wrap(body, 0, length).order(ByteOrder.LITTLE_ENDIAN),
           clock,
           records,
@@ -80,24 +80,24 @@
   }
 
   private boolean readHeader(byte[] header) throws IOException, MalformedFrameException {
-    int got = in.readNBytes(header, 0, HEADER);
-    if (got != 0 && got < HEADER) {
+    int got = in.readNBytes(header, 0, HEADER_BYTES);
+    if (got != 0 && got < HEADER_BYTES) {
       throw new MalformedFrameException(
-          "batch header: the input ends after " + got + " of " + HEADER + " bytes");
+          "batch header: the input ends after " + got + " of " + HEADER_BYTES + " bytes");
     }
-    return got == HEADER;
+    return got == HEADER_BYTES;
   }
 
-  private void answer(ByteBuffer events, Moment clock, int records, int sequence)
+  private void processRecords(ByteBuffer events, Moment clock, int records, int sequence)
       throws MalformedFrameException {
-    for (int n = 0; n < records; n++) {
+    for (int recordIndex = 0; recordIndex < records; recordIndex++) {
       int start = events.position();
       try {
-        event(events, clock);
+        processEvent(events, clock);
       } catch (BufferUnderflowException e) {
-        throw malformed(sequence, n, start, "it is cut short");
+        throw malformed(sequence, recordIndex, start, "it is cut short");
       } catch (IllegalArgumentException e) {
-        throw malformed(sequence, n, start, e.getMessage());
+        throw malformed(sequence, recordIndex, start, e.getMessage());
       }
     }
     if (events.hasRemaining()) {
@@ -114,16 +114,16 @@
   }
 
   private static MalformedFrameException malformed(
-      int sequence, int record, int offset, String what) {
+      int sequence, int record, int offset, String problem) {
     return new MalformedFrameException(
-        "batch " + sequence + ", record " + record + " at offset " + offset + ": " + what);
+        "batch " + sequence + ", record " + record + " at offset " + offset + ": " + problem);
   }
 
-  private void event(ByteBuffer in, Moment clock) {
+  private void processEvent(ByteBuffer in, Moment clock) {
     int code = in.get() & 0xff;
     if (code == 11) {
       int list = in.getInt();
-      lists.set(checked(list, LISTS, "list"), entries(in));
+      hostLists.set(requireInRange(list, MAX_HOST_LISTS, "list"), readHostEntries(in));
       return;
     }
     if (code > 10) {
@@ -132,22 +132,22 @@
     int number = in.getShort() & 0xffff;
     if (code == 0) {
       long seed = in.getLong();
-      byte[] text = new byte[checked(in.getInt(), in.remaining() + 1, "settings length")];
+      byte[] text = new byte[requireInRange(in.getInt(), in.remaining() + 1, "settings length")];
       in.get(text);
       var deployment =
           StartupSettings.parseLines(new String(text, StandardCharsets.UTF_8)).deployment();
-      instances.put(number, new Instance(number, reply, clock, deployment, seed));
+      gateways.put(number, new SimulatedGateway(number, reply, clock, deployment, seed));
       return;
     }
-    Instance instance = instances.get(number);
-    if (instance == null) {
+    SimulatedGateway gateway = gateways.get(number);
+    if (gateway == null) {
       throw new IllegalArgumentException("instance " + number + " was never configured");
     }
-    Runnable call = decode(code, number, instance, in, clock);
+    Runnable call = decode(code, number, gateway, in, clock);
     try {
       call.run();
     } catch (RuntimeException e) {
-      instance.fatal(e.toString());
+      gateway.fatal(e.toString());
     }
   }
 
@@ -155,108 +155,114 @@
    * Reads the fields of one event and returns the call to make with them. Reading and calling are
    * separate steps, so that a malformed event can be told from an exception of the scheduler.
    */
-  private Runnable decode(int code, int number, Instance instance, ByteBuffer in, Moment clock) {
-    instance.advanceTo(clock);
+  private Runnable decode(
+      int code, int number, SimulatedGateway gateway, ByteBuffer in, Moment clock) {
+    gateway.advanceTo(clock);
     switch (code) {
       case 1:
         {
-          int how = checked(in.get() & 0xff, 4, "announce kind");
+          int updateKind = requireInRange(in.get() & 0xff, 4, "announce kind");
           in.getLong();
           int list = in.getInt();
-          List<HostEntry> hosts = how == 3 ? List.of() : lists.get(checked(list, LISTS, "list"));
+          List<HostEntry> hosts =
+              updateKind == 3
+                  ? List.of()
+                  : hostLists.get(requireInRange(list, MAX_HOST_LISTS, "list"));
           if (hosts == null) {
             throw new IllegalArgumentException("list " + list + " was never sent");
           }
-          return () -> instance.announced(how, hosts);
+          return () -> gateway.hostListChanged(updateKind, hosts);
         }
       case 2:
         {
-          long ref = in.getLong();
+          long invocation = in.getLong();
           int type = in.get() & 0xff;
           int customer = in.getShort() & 0xffff;
           long function = in.getLong();
-          Span left = span(in);
-          Span effort = span(in);
-          double memory = in.getFloat();
-          double lanes = in.getFloat();
-          Span load = Span.ofMillis(in.getFloat());
-          int bits = in.get();
-          InvocationSpec call =
+          Span timeout = readSpan(in);
+          Span workHint = readSpan(in);
+          double memoryMb = in.getFloat();
+          double slotsPerInstance = in.getFloat();
+          Span loadHint = Span.ofMillis(in.getFloat());
+          int flags = in.get();
+          InvocationSpec spec =
               new InvocationSpec(
                   type,
                   customer,
                   function,
-                  left,
-                  effort,
-                  (bits & 1) != 0,
-                  memory,
-                  lanes,
-                  load,
-                  (bits & 2) != 0);
-          return () -> instance.arrived(ref, call);
+                  timeout,
+                  workHint,
+                  (flags & 1) != 0,
+                  memoryMb,
+                  slotsPerInstance,
+                  loadHint,
+                  (flags & 2) != 0);
+          return () -> gateway.submit(invocation, spec);
         }
       case 3:
         {
-          long ref = in.getLong();
-          int shot = in.get() & 0xff;
+          long invocation = in.getLong();
+          int attempt = in.get() & 0xff;
           in.getInt();
-          Span elapsed = span(in);
-          return () -> instance.started(ref, shot, elapsed);
+          Span elapsed = readSpan(in);
+          return () -> gateway.responseStarted(invocation, attempt, elapsed);
         }
       case 4:
         {
-          long ref = in.getLong();
-          int shot = in.get() & 0xff;
+          long invocation = in.getLong();
+          int attempt = in.get() & 0xff;
           in.getInt();
-          Outcome outcome = outcome(in);
-          Span elapsed = span(in);
+          Outcome outcome = readOutcome(in);
+          Span elapsed = readSpan(in);
           boolean last = in.get() != 0;
           int remark = in.get() & 0xff;
-          float[] report = report(in);
-          return () -> instance.ended(ref, shot, outcome, elapsed, last, remark, report);
+          float[] report = readReport(in);
+          return () ->
+              gateway.attemptEnded(invocation, attempt, outcome, elapsed, last, remark, report);
         }
       case 5:
         {
-          long ref = in.getLong();
-          return () -> instance.hungUp(ref);
+          long invocation = in.getLong();
+          return () -> gateway.clientDisconnected(invocation);
         }
       case 6:
         {
-          long cookie = in.getLong();
-          return () -> instance.fired(cookie);
+          long timerId = in.getLong();
+          return () -> gateway.timerFired(timerId);
         }
       case 7:
         {
-          Span elapsed = span(in);
-          Outcome outcome = outcome(in);
-          long host = host(in);
-          float[] report = report(in);
-          return () -> instance.dispatcher().probeCompleted(host, outcome, elapsed, report);
+          Span elapsed = readSpan(in);
+          Outcome outcome = readOutcome(in);
+          long host = readHostId(in);
+          float[] report = readReport(in);
+          return () -> gateway.policy().probeCompleted(host, outcome, elapsed, report);
         }
       case 8:
         {
-          int who = in.getInt();
-          byte[] words = new byte[in.getShort() & 0xffff];
-          in.get(words);
-          return () -> instance.dispatcher().gossipReceived(who, words);
+          int peer = in.getInt();
+          byte[] message = new byte[in.getShort() & 0xffff];
+          in.get(message);
+          return () -> gateway.policy().gossipReceived(peer, message);
         }
       case 9:
-        return () -> instances.remove(number);
+        return () -> gateways.remove(number);
       default:
         {
-          long host = host(in);
+          long host = readHostId(in);
           long function = in.getLong();
-          Outcome outcome = outcome(in);
-          Span elapsed = span(in);
-          int copies = in.get() & 0xff;
-          return () ->
-              instance.dispatcher().loadCompleted(host, function, outcome, elapsed, copies);
+          Outcome outcome = readOutcome(in);
+          Span elapsed = readSpan(in);
+          int instances = in.get() & 0xff;
+          return () -> gateway.policy().loadCompleted(host, function, outcome, elapsed, instances);
         }
     }
   }
 
-  private static List<HostEntry> entries(ByteBuffer in) {
-    int count = checked(in.getInt(), in.remaining() / ENTRY + 1, "number of list entries");
+  private static List<HostEntry> readHostEntries(ByteBuffer in) {
+    int count =
+        requireInRange(
+            in.getInt(), in.remaining() / HOST_ENTRY_BYTES + 1, "number of list entries");
     List<HostEntry> entries = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
       int zone = in.getShort() & 0xffff;
@@ -268,7 +274,7 @@
             default -> throw new IllegalArgumentException("unknown host state in entry " + i);
           };
       int cell = in.getShort() & 0xffff;
-      long host = host(in);
+      long host = readHostId(in);
       int kind = in.get() & 0xff;
       entries.add(
           new HostEntry(host, zone, cell, kind, state, new Moment(in.getLong()), in.getFloat()));
@@ -276,7 +282,7 @@
     return entries;
   }
 
-  private static Outcome outcome(ByteBuffer in) {
+  private static Outcome readOutcome(ByteBuffer in) {
     int code = in.getShort() & 0xffff;
     return switch (code) {
       case 10 -> Outcome.OK;
@@ -292,7 +298,7 @@
     };
   }
 
-  private static float[] report(ByteBuffer in) {
+  private static float[] readReport(ByteBuffer in) {
     float[] report = new float[in.get() & 0xff];
     for (int i = 0; i < report.length; i++) {
       report[i] = in.getFloat();
@@ -300,15 +306,15 @@
     return report;
   }
 
-  private static Span span(ByteBuffer in) {
+  private static Span readSpan(ByteBuffer in) {
     return new Span(in.getInt() & 0xffffffffL);
   }
 
-  private static long host(ByteBuffer in) {
+  private static long readHostId(ByteBuffer in) {
     return in.getInt() & 0xffffffffL;
   }
 
-  private static int checked(int value, int bound, String name) {
+  private static int requireInRange(int value, int bound, String name) {
     if (value < 0 || value >= bound) {
       throw new IllegalArgumentException(name + " " + value + " is out of range");
     }
--- a/src/main/java/flintlead/benchlink/Reply.java
+++ b/src/main/java/flintlead/benchlink/Reply.java
@@ -7,14 +7,14 @@
 /** Buffer for the records of one reply; it grows as actions are encoded. */
 final class Reply {
 
-  private static final int HEADER = 12;
+  private static final int HEADER_BYTES = 12;
 
   private ByteBuffer bytes = ByteBuffer.allocate(1 << 16).order(ByteOrder.LITTLE_ENDIAN);
   private int records;
 
   void begin() {
     bytes.clear();
-    bytes.position(HEADER);
+    bytes.position(HEADER_BYTES);
     records = 0;
   }
 
@@ -24,9 +24,9 @@
    */
   ByteBuffer record(int code, int instance, int size) {
     if (bytes.remaining() < size) {
-      byte[] wider =
+      byte[] larger =
           Arrays.copyOf(bytes.array(), Math.max(bytes.capacity() * 2, bytes.position() + size));
-      bytes = ByteBuffer.wrap(wider).order(ByteOrder.LITTLE_ENDIAN).position(bytes.position());
+      bytes = ByteBuffer.wrap(larger).order(ByteOrder.LITTLE_ENDIAN).position(bytes.position());
     }
     records++;
     return bytes.put((byte) code).putShort((short) instance);
@@ -36,7 +36,7 @@
    * Completes the header; the reply is then the first {@link #length()} bytes of {@link #array()}.
    */
   void end(int sequence) {
-    bytes.putInt(0, records).putInt(4, bytes.position() - HEADER).putInt(8, sequence);
+    bytes.putInt(0, records).putInt(4, bytes.position() - HEADER_BYTES).putInt(8, sequence);
   }
 
   byte[] array() {
--- a/src/main/java/flintlead/benchlink/SimulatedGateway.java
+++ b/src/main/java/flintlead/benchlink/SimulatedGateway.java
@@ -20,43 +20,43 @@
  * One gateway instance of the simulation: encodes the actions of its scheduler, and finds the
  * invocation handle or timer that an event refers to.
  */
-final class Instance implements SchedulerContext {
+final class SimulatedGateway implements SchedulerContext {
 
   private static final int ALL_PEERS = 0xffff;
 
   private final int number;
   private final Reply reply;
-  private final SchedulingPolicy dispatcher;
+  private final SchedulingPolicy policy;
   private final Map<Long, InvocationHandle> handles = new HashMap<>();
   private final Map<Long, Runnable> timers = new HashMap<>();
-  private long nextCookie;
+  private long nextTimerId;
   private Moment now;
 
-  Instance(int number, Reply reply, Moment now, Deployment deployment, long seed) {
+  SimulatedGateway(int number, Reply reply, Moment now, Deployment deployment, long seed) {
     this.number = number;
     this.reply = reply;
     this.now = now;
-    this.dispatcher = new Scheduler(this, deployment, seed);
+    this.policy = new Scheduler(this, deployment, seed);
   }
 
   void advanceTo(Moment clock) {
     now = clock;
   }
 
-  SchedulingPolicy dispatcher() {
-    return dispatcher;
+  SchedulingPolicy policy() {
+    return policy;
   }
 
-  void arrived(long invocation, InvocationSpec call) {
-    InvocationHandle handle = dispatcher.submit(invocation, call);
+  void submit(long invocation, InvocationSpec spec) {
+    InvocationHandle handle = policy.submit(invocation, spec);
     if (!handle.isFinished()) {
       handles.put(invocation, handle);
     }
   }
 
-  void ended(
+  void attemptEnded(
       long invocation,
-      int dispatch,
+      int attempt,
       Outcome outcome,
       Span elapsed,
       boolean last,
@@ -64,42 +64,42 @@
       float[] report) {
     InvocationHandle handle = handles.get(invocation);
     if (handle != null) {
-      handle.attemptEnded(dispatch, outcome, elapsed, last, remark, report);
-      forget(invocation, handle);
+      handle.attemptEnded(attempt, outcome, elapsed, last, remark, report);
+      dropIfFinished(invocation, handle);
     }
   }
 
-  void started(long invocation, int dispatch, Span elapsed) {
+  void responseStarted(long invocation, int attempt, Span elapsed) {
     InvocationHandle handle = handles.get(invocation);
     if (handle != null) {
-      handle.responseStarted(dispatch, elapsed);
+      handle.responseStarted(attempt, elapsed);
     }
   }
 
-  void hungUp(long invocation) {
+  void clientDisconnected(long invocation) {
     InvocationHandle handle = handles.get(invocation);
     if (handle != null) {
       handle.clientDisconnected();
-      forget(invocation, handle);
+      dropIfFinished(invocation, handle);
     }
   }
 
-  void fired(long cookie) {
-    Runnable then = timers.remove(cookie);
-    if (then != null) {
-      then.run();
+  void timerFired(long timerId) {
+    Runnable task = timers.remove(timerId);
+    if (task != null) {
+      task.run();
     }
   }
 
-  void announced(int how, List<HostEntry> hosts) {
-    switch (how) {
-      case 0 -> dispatcher.updateHosts(hosts);
-      case 1, 2 -> dispatcher.replaceHosts(hosts);
-      default -> dispatcher.hostListUnavailable();
+  void hostListChanged(int updateKind, List<HostEntry> hosts) {
+    switch (updateKind) {
+      case 0 -> policy.updateHosts(hosts);
+      case 1, 2 -> policy.replaceHosts(hosts);
+      default -> policy.hostListUnavailable();
     }
   }
 
-  private void forget(long invocation, InvocationHandle handle) {
+  private void dropIfFinished(long invocation, InvocationHandle handle) {
     if (handle.isFinished()) {
       handles.remove(invocation);
     }
@@ -116,20 +116,20 @@
   }
 
   @Override
-  public void cancel(long invocation, int dispatch) {
-    reply.record(2, number, 12).putLong(invocation).put((byte) dispatch);
+  public void cancel(long invocation, int attempt) {
+    reply.record(2, number, 12).putLong(invocation).put((byte) attempt);
   }
 
   @Override
-  public void throttle(long invocation, Span retryIn) {
-    reply.record(9, number, 15).putLong(invocation).putInt((int) retryIn.micros());
-    forgetAnswered(invocation);
+  public void throttle(long invocation, Span retryAfter) {
+    reply.record(9, number, 15).putLong(invocation).putInt((int) retryAfter.micros());
+    dropAnswered(invocation);
   }
 
   @Override
   public void fail(long invocation) {
     reply.record(13, number, 11).putLong(invocation);
-    forgetAnswered(invocation);
+    dropAnswered(invocation);
   }
 
   /**
@@ -137,16 +137,16 @@
    * calls on the handle, and an invocation without attempts in flight gets no further event that
    * would drop it.
    */
-  private void forgetAnswered(long invocation) {
+  private void dropAnswered(long invocation) {
     InvocationHandle handle = handles.get(invocation);
     if (handle != null) {
-      forget(invocation, handle);
+      dropIfFinished(invocation, handle);
     }
   }
 
   @Override
-  public void load(long host, long function, int copies) {
-    reply.record(10, number, 16).putInt((int) host).putLong(function).put((byte) copies);
+  public void load(long host, long function, int instances) {
+    reply.record(10, number, 16).putInt((int) host).putLong(function).put((byte) instances);
   }
 
   @Override
@@ -175,39 +175,42 @@
   }
 
   @Override
-  public void sendGossip(int gateway, byte[] words) {
+  public void sendGossip(int gateway, byte[] message) {
     reply
-        .record(11, number, 7 + words.length)
+        .record(11, number, 7 + message.length)
         .putShort((short) gateway)
-        .putShort((short) words.length)
-        .put(words);
+        .putShort((short) message.length)
+        .put(message);
   }
 
   @Override
-  public void broadcastGossip(byte[] words) {
-    sendGossip(ALL_PEERS, words);
+  public void broadcastGossip(byte[] message) {
+    sendGossip(ALL_PEERS, message);
   }
 
   @Override
-  public Runnable schedule(Moment when, Runnable then) {
-    long cookie = nextCookie++;
-    timers.put(cookie, then);
-    reply.record(0, number, 19).putLong(when.micros()).putLong(cookie);
-    return () -> timers.remove(cookie);
+  public Runnable schedule(Moment when, Runnable task) {
+    long timerId = nextTimerId++;
+    timers.put(timerId, task);
+    reply.record(0, number, 19).putLong(when.micros()).putLong(timerId);
+    return () -> timers.remove(timerId);
   }
 
   @Override
   public void log(String line) {
-    text(12, line);
+    writeText(12, line);
   }
 
   void fatal(String line) {
-    text(3, line);
+    writeText(3, line);
   }
 
-  private void text(int code, String line) {
-    byte[] words = line.getBytes(StandardCharsets.UTF_8);
-    byte[] cut = words.length > 0xffff ? Arrays.copyOf(words, 0xffff) : words;
-    reply.record(code, number, 5 + cut.length).putShort((short) cut.length).put(cut);
+  private void writeText(int code, String line) {
+    byte[] encoded = line.getBytes(StandardCharsets.UTF_8);
+    byte[] truncated = encoded.length > 0xffff ? Arrays.copyOf(encoded, 0xffff) : encoded;
+    reply
+        .record(code, number, 5 + truncated.length)
+        .putShort((short) truncated.length)
+        .put(truncated);
   }
 }
