--- a/src/test/java/flintlead/bench/HotPaths.java
+++ b/src/test/java/flintlead/bench/HotPaths.java
@@ -41,8 +41,8 @@
               + "\"}}\n",
           StandardCharsets.UTF_8);
   private final MessageReader reader = new MessageReader();
-  private final Idle few = new Idle(85);
-  private final Idle many = new Idle(85);
+  private final Idle knownFunctions = new Idle(85);
+  private final Idle newFunctions = new Idle(85);
   private Message last;
   private long function;
 
@@ -60,29 +60,29 @@
             }
 
             @Override
-            public void lineTooLong(int most) {
+            public void lineTooLong(int maxBytes) {
               throw new IllegalStateException();
             }
           });
 
   @Benchmark
-  public Message lineOf1KiBDecodedAndRead() {
+  public Message decodeAndReadLineOf1KiB() {
     decoder.feed(bytes.duplicate(), UnpooledByteBufAllocator.DEFAULT);
     return last;
   }
 
   /** Places and answers an invocation of one of fifty loaded functions, with 85 hosts. */
   @Benchmark
-  public long placedAndAnsweredWarm() {
-    return few.invoke(function++ % 50);
+  public long placeAndAnswerKnownFunction() {
+    return knownFunctions.invoke(function++ % 50);
   }
 
   /**
    * Places and answers an invocation of a new function, which computes its hash walk over 85 hosts.
    */
   @Benchmark
-  public long placedAndAnsweredNew() {
-    return many.invoke(function++);
+  public long placeAndAnswerNewFunction() {
+    return newFunctions.invoke(function++);
   }
 
   public static void main(String[] args) throws RunnerException {
--- a/src/test/java/flintlead/bench/Idle.java
+++ b/src/test/java/flintlead/bench/Idle.java
@@ -20,11 +20,11 @@
   private static final float[] NO_REPORT = {};
   private final Scheduler scheduler;
   private Moment now = new Moment(1);
-  private long next;
+  private long nextInvocation;
   private long sentTo = -1;
 
   Idle(int hosts) {
-    Deployment facts =
+    Deployment deployment =
         new Deployment(
             0,
             1,
@@ -63,12 +63,12 @@
             2,
             0.3,
             List.of());
-    scheduler = new Scheduler(this, facts, 1);
-    List<HostEntry> list = new ArrayList<>();
+    scheduler = new Scheduler(this, deployment, 1);
+    List<HostEntry> entries = new ArrayList<>();
     for (int i = 0; i < hosts; i++) {
-      list.add(new HostEntry(1_000 + 7L * i, 0, 0, 0, HostEntry.State.READY, new Moment(0), 1));
+      entries.add(new HostEntry(1_000 + 7L * i, 0, 0, 0, HostEntry.State.READY, new Moment(0), 1));
     }
-    scheduler.replaceHosts(list);
+    scheduler.replaceHosts(entries);
   }
 
   /**
@@ -80,7 +80,7 @@
     sentTo = -1;
     InvocationHandle handle =
         scheduler.submit(
-            next++,
+            nextInvocation++,
             new InvocationSpec(
                 0,
                 Integer.MAX_VALUE,
@@ -109,21 +109,21 @@
   }
 
   @Override
-  public Runnable schedule(Moment when, Runnable then) {
+  public Runnable schedule(Moment when, Runnable task) {
     return () -> {};
   }
 
   @Override
-  public void cancel(long invocation, int dispatch) {}
+  public void cancel(long invocation, int attempt) {}
 
   @Override
-  public void throttle(long invocation, Span retryIn) {}
+  public void throttle(long invocation, Span retryAfter) {}
 
   @Override
   public void fail(long invocation) {}
 
   @Override
-  public void load(long host, long function, int copies) {}
+  public void load(long host, long function, int instances) {}
 
   @Override
   public void unload(long host, long function) {}
@@ -141,10 +141,10 @@
   public void fetchHosts() {}
 
   @Override
-  public void sendGossip(int gateway, byte[] words) {}
+  public void sendGossip(int gateway, byte[] message) {}
 
   @Override
-  public void broadcastGossip(byte[] words) {}
+  public void broadcastGossip(byte[] message) {}
 
   @Override
   public void log(String line) {}
--- a/src/test/java/flintlead/bench/LeaseCost.java
+++ b/src/test/java/flintlead/bench/LeaseCost.java
@@ -20,7 +20,7 @@
 
   private static final int SECONDS = 30;
   private static final int FUNCTIONS = 400;
-  private static final int COPIES = 3;
+  private static final int HOSTS_PER_FUNCTION = 3;
   private static final double ANSWER_MILLIS = 120;
 
   private final int hosts;
@@ -31,7 +31,7 @@
   private int sentAtOnce;
   private int sentAfterProbe;
   private int denied;
-  private int elsewhere;
+  private int loadedElsewhere;
 
   private LeaseCost(int hosts, int drained) {
     this.hosts = hosts;
@@ -44,10 +44,10 @@
     int gateways = Integer.parseInt(args[0]);
     int hosts = Integer.parseInt(args[1]);
     double rate = Double.parseDouble(args[2]);
-    new LeaseCost(hosts, Integer.parseInt(args[3])).play(gateways, rate);
+    new LeaseCost(hosts, Integer.parseInt(args[3])).simulate(gateways, rate);
   }
 
-  private void play(int gateways, double perSecond) {
+  private void simulate(int gateways, double perSecond) {
     LeaseTerms terms = new LeaseTerms(Span.ofMillis(1_000), true, gateways);
     for (int gateway = 0; gateway < gateways; gateway++) {
       HostLeases leases = new HostLeases(terms, LeaseListener.NONE);
@@ -74,9 +74,9 @@
   private void request(HostLeases leases, double millis) {
     requests++;
     int function = drawFunction();
-    Random walk = new Random(function * 31L);
-    int[] order = walk.ints(0, hosts).distinct().limit(hosts).toArray();
-    for (int i = 0; i < COPIES; i++) {
+    Random shuffle = new Random(function * 31L);
+    int[] order = shuffle.ints(0, hosts).distinct().limit(hosts).toArray();
+    for (int i = 0; i < HOSTS_PER_FUNCTION; i++) {
       if (leases.permission(order[i], at(millis)) == SendPermission.GRANTED) {
         sentAtOnce++;
         serve(leases, order[i], millis);
@@ -85,8 +85,8 @@
     }
     for (int i = 0; i < hosts; i++) {
       if (leases.permission(order[i], at(millis)) != SendPermission.REFUSED
-          && proves(leases, order[i], millis)) {
-        elsewhere += i < COPIES ? 0 : 1;
+          && ensureLease(leases, order[i], millis)) {
+        loadedElsewhere += i < HOSTS_PER_FUNCTION ? 0 : 1;
         sentAfterProbe++;
         serve(leases, order[i], millis);
         return;
@@ -94,7 +94,7 @@
     }
   }
 
-  private boolean proves(HostLeases leases, int host, double millis) {
+  private boolean ensureLease(HostLeases leases, int host, double millis) {
     if (leases.holds(host, at(millis))) {
       return true;
     }
@@ -119,11 +119,11 @@
 
   private void print(int gateways, double perSecond) {
     int total = 0;
-    int most = 0;
-    for (int[] ofHost : probes) {
-      for (int count : ofHost) {
+    int maxPerSecond = 0;
+    for (int[] probesOfHost : probes) {
+      for (int count : probesOfHost) {
         total += count;
-        most = Math.max(most, count);
+        maxPerSecond = Math.max(maxPerSecond, count);
       }
     }
     System.out.printf(
@@ -136,10 +136,10 @@
         drained,
         (sentAtOnce + sentAfterProbe) / (double) requests,
         sentAfterProbe / (double) requests,
-        elsewhere / (double) requests,
+        loadedElsewhere / (double) requests,
         total / (double) requests,
         total / (double) hosts / SECONDS,
-        most,
+        maxPerSecond,
         denied / (double) requests);
   }
 }
--- a/src/test/java/flintlead/bench/Soak.java
+++ b/src/test/java/flintlead/bench/Soak.java
@@ -11,12 +11,12 @@
   private Soak() {}
 
   public static void main(String[] args) {
-    Idle idle = new Idle(85);
+    Idle scheduler = new Idle(85);
     Random random = new Random(1);
-    long begun = System.nanoTime();
+    long startedNanos = System.nanoTime();
     for (int tenth = 1; tenth <= 10; tenth++) {
       for (int i = 0; i < 1_000_000; i++) {
-        idle.invoke(random.nextInt(1_000_000));
+        scheduler.invoke(random.nextInt(1_000_000));
       }
       System.gc();
       Runtime java = Runtime.getRuntime();
@@ -24,7 +24,7 @@
           "%d million: heap %d MB, %.1f us each%n",
           tenth,
           (java.totalMemory() - java.freeMemory()) >> 20,
-          (System.nanoTime() - begun) / 1e9 / tenth);
+          (System.nanoTime() - startedNanos) / 1e9 / tenth);
     }
   }
 }
--- a/src/test/java/flintlead/benchlink/BenchLinkTest.java
+++ b/src/test/java/flintlead/benchlink/BenchLinkTest.java
@@ -79,14 +79,14 @@
   }
 
   @Example
-  void anEmptyBatchGetsThePagesReply() throws Exception {
+  void emptyBatchGetsTheDocumentedReply() throws Exception {
     assertArrayEquals(
         bytes("00000000 00000000 01000000"),
         run(bytes("00000000 5a5c800000000000 00000000 01000000")));
   }
 
   @Example
-  void anArrivalIsHandedOffAndItsReplyEndsIt() throws Exception {
+  void arrivalIsDispatchedAndItsReplyFinishesIt() throws Exception {
     byte[] start =
         batch(1, 8_412_250, 4, configure(), bytes(LIST), bytes(ANNOUNCE), bytes(ARRIVAL));
     byte[] reply =
@@ -107,7 +107,7 @@
   }
 
   @Example
-  void aHaltKeepsNothing() throws Exception {
+  void haltDiscardsTheState() throws Exception {
     byte[] start =
         batch(1, 8_412_250, 4, configure(), bytes(LIST), bytes(ANNOUNCE), bytes(ARRIVAL));
     byte[] again =
@@ -116,14 +116,15 @@
   }
 
   @Example
-  void badInputIsNamed() {
-    var unknown =
+  void malformedInputIsReportedWithItsPosition() {
+    var unknownEvent =
         assertThrows(MalformedFrameException.class, () -> run(batch(5, 1, 1, bytes("63"))));
-    assertEquals("batch 5, record 0 at offset 0: unknown event code 99", unknown.getMessage());
-    var cut =
+    assertEquals("batch 5, record 0 at offset 0: unknown event code 99", unknownEvent.getMessage());
+    var truncatedRecord =
         assertThrows(
             MalformedFrameException.class, () -> run(batch(6, 1, 2, configure(), bytes("050300"))));
-    assertTrue(cut.getMessage().endsWith("it is cut short"), cut.getMessage());
+    assertTrue(
+        truncatedRecord.getMessage().endsWith("it is cut short"), truncatedRecord.getMessage());
     assertThrows(MalformedFrameException.class, () -> run(bytes("0000")));
   }
 }
