--- a/src/main/java/flintlead/scheduling/api/InvocationSpec.java
+++ b/src/main/java/flintlead/scheduling/api/InvocationSpec.java
@@ -16,7 +16,7 @@
  * @param slotsPerInstance invocations that one instance runs concurrently
  * @param loadHint expected time to load an instance
  * @param clientRetry whether the client marked the invocation as a retry
- * @param pool number of the pool that serves the invocation; it is sent to no newTimeout hosts
+ * @param pool number of the pool that serves the invocation; it is sent to no other hosts
  */
 public record InvocationSpec(
     int triggerType,
--- a/src/main/java/flintlead/scheduling/state/InstanceEstimate.java
+++ b/src/main/java/flintlead/scheduling/state/InstanceEstimate.java
@@ -12,8 +12,8 @@
   public final Host host;
 
   /**
-   * Instances believed to be loaded when last used; {@link #instances(Moment, Span)} accounts for
-   * the keep-alive time.
+   * Instances believed to be loaded, regardless of the keep-alive time; see {@link
+   * #instances(Moment, Span)}.
    */
   public int instances;
 
@@ -26,7 +26,7 @@
   public int inFlight;
 
   /**
-   * Number of these attempts that count as loads, as the function was not believed to be loaded
+   * Number of attempts in flight that count as loads, as the function was not believed to be loaded
    * when they were sent.
    */
   public int loadsInFlight;
--- a/src/main/java/flintlead/scheduling/state/InvocationState.java
+++ b/src/main/java/flintlead/scheduling/state/InvocationState.java
@@ -66,8 +66,8 @@
   public Runnable cancelTimer;
 
   /**
-   * Whether scheduling is over: the final answer was given, its stream has begun, or the client
-   * disconnected.
+   * Whether scheduling is over: the final answer was given, the response stream has begun, or the
+   * client disconnected.
    */
   public boolean settled;
 
