--- a/src/test/java/flintlead/bench/LeaseCost.java
+++ b/src/test/java/flintlead/bench/LeaseCost.java
@@ -11,15 +11,16 @@
 import java.util.Random;
 
 /**
- * What leases cost in an outage of discovery: a model of a fleet with real leases and no network.
- * Each request has a function that some hosts hold; a host whose lease holds goes before one that
- * needs a probe. Run by hand: gateways, hosts, requests a second of all, drained hosts.
+ * Simulates the cost of leases during an outage of discovery: a model of a fleet with the real
+ * lease code and no network. Each request is for a function that some hosts have loaded; a host
+ * with a valid lease is preferred to one that needs a probe first. Run by hand with the arguments:
+ * gateways, hosts, requests per second of all gateways together, drained hosts.
  */
 final class LeaseCost {
 
   private static final int SECONDS = 30;
   private static final int FUNCTIONS = 400;
-  private static final int COPIES = 3;
+  private static final int HOSTS_PER_FUNCTION = 3;
   private static final double ANSWER_MILLIS = 120;
 
   private final int hosts;
@@ -30,7 +31,7 @@
   private int sentAtOnce;
   private int sentAfterProbe;
   private int denied;
-  private int elsewhere;
+  private int loadedElsewhere;
 
   private LeaseCost(int hosts, int drained) {
     this.hosts = hosts;
@@ -38,15 +39,15 @@
     this.probes = new int[hosts][SECONDS];
   }
 
-  /** Plays and prints one line. */
+  /** Runs the simulation and prints one line of results. */
   public static void main(String[] args) {
     int gateways = Integer.parseInt(args[0]);
     int hosts = Integer.parseInt(args[1]);
     double rate = Double.parseDouble(args[2]);
-    new LeaseCost(hosts, Integer.parseInt(args[3])).play(gateways, rate);
+    new LeaseCost(hosts, Integer.parseInt(args[3])).simulate(gateways, rate);
   }
 
-  private void play(int gateways, double perSecond) {
+  private void simulate(int gateways, double perSecond) {
     LeaseTerms terms = new LeaseTerms(Span.ofMillis(1_000), true, gateways);
     for (int gateway = 0; gateway < gateways; gateway++) {
       HostLeases leases = new HostLeases(terms, LeaseListener.NONE);
@@ -65,7 +66,7 @@
     return Moment.START.plus(Span.ofMillis(millis + 1_000));
   }
 
-  /** The more popular functions have lower numbers. */
+  /** Draws a function; lower numbers are more popular. */
   private int drawFunction() {
     return (int) (FUNCTIONS * Math.pow(random.nextDouble(), 3));
   }
@@ -73,9 +74,9 @@
   private void request(HostLeases leases, double millis) {
     requests++;
     int function = drawFunction();
-    Random walk = new Random(function * 31L);
-    int[] order = walk.ints(0, hosts).distinct().limit(hosts).toArray();
-    for (int i = 0; i < COPIES; i++) {
+    Random shuffle = new Random(function * 31L);
+    int[] order = shuffle.ints(0, hosts).distinct().limit(hosts).toArray();
+    for (int i = 0; i < HOSTS_PER_FUNCTION; i++) {
       if (leases.permission(order[i], at(millis)) == SendPermission.GRANTED) {
         sentAtOnce++;
         serve(leases, order[i], millis);
@@ -84,8 +85,8 @@
     }
     for (int i = 0; i < hosts; i++) {
       if (leases.permission(order[i], at(millis)) != SendPermission.REFUSED
-          && proves(leases, order[i], millis)) {
-        elsewhere += i < COPIES ? 0 : 1;
+          && ensureLease(leases, order[i], millis)) {
+        loadedElsewhere += i < HOSTS_PER_FUNCTION ? 0 : 1;
         sentAfterProbe++;
         serve(leases, order[i], millis);
         return;
@@ -93,7 +94,7 @@
     }
   }
 
-  private boolean proves(HostLeases leases, int host, double millis) {
+  private boolean ensureLease(HostLeases leases, int host, double millis) {
     if (leases.holds(host, at(millis))) {
       return true;
     }
@@ -108,18 +109,21 @@
     return ready;
   }
 
-  /** Served work renews; that it is known a little later changes little here. */
+  /**
+   * Renews the lease by served work. The renewal takes effect here when the work is sent instead of
+   * when its answer arrives, which changes the results little.
+   */
   private static void serve(HostLeases leases, int host, double millis) {
     leases.proven(host, at(millis), HostProof.SERVED, at(millis + ANSWER_MILLIS));
   }
 
   private void print(int gateways, double perSecond) {
     int total = 0;
-    int most = 0;
-    for (int[] ofHost : probes) {
-      for (int count : ofHost) {
+    int maxPerSecond = 0;
+    for (int[] probesOfHost : probes) {
+      for (int count : probesOfHost) {
         total += count;
-        most = Math.max(most, count);
+        maxPerSecond = Math.max(maxPerSecond, count);
       }
     }
     System.out.printf(
@@ -132,10 +136,10 @@
         drained,
         (sentAtOnce + sentAfterProbe) / (double) requests,
         sentAfterProbe / (double) requests,
-        elsewhere / (double) requests,
+        loadedElsewhere / (double) requests,
         total / (double) requests,
         total / (double) hosts / SECONDS,
-        most,
+        maxPerSecond,
         denied / (double) requests);
   }
 }
--- a/src/test/java/flintlead/bench/Soak.java
+++ b/src/test/java/flintlead/bench/Soak.java
@@ -3,20 +3,20 @@
 import java.util.Random;
 
 /**
- * Ten million invocations of a million function names on one Scheduler, and the heap after each
- * tenth. Not in CI.
+ * Schedules ten million invocations of a million functions on one {@link
+ * flintlead.scheduling.Scheduler} and prints the heap size after each million. Not part of CI.
  */
 public final class Soak {
 
   private Soak() {}
 
   public static void main(String[] args) {
-    Idle idle = new Idle(85);
+    Idle scheduler = new Idle(85);
     Random random = new Random(1);
-    long begun = System.nanoTime();
+    long startedNanos = System.nanoTime();
     for (int tenth = 1; tenth <= 10; tenth++) {
       for (int i = 0; i < 1_000_000; i++) {
-        idle.invoke(random.nextInt(1_000_000));
+        scheduler.invoke(random.nextInt(1_000_000));
       }
       System.gc();
       Runtime java = Runtime.getRuntime();
@@ -24,7 +24,7 @@
           "%d million: heap %d MB, %.1f us each%n",
           tenth,
           (java.totalMemory() - java.freeMemory()) >> 20,
-          (System.nanoTime() - begun) / 1e9 / tenth);
+          (System.nanoTime() - startedNanos) / 1e9 / tenth);
     }
   }
 }
