--- a/src/main/java/flintlead/routing/guard/HostSendGuard.java
+++ b/src/main/java/flintlead/routing/guard/HostSendGuard.java
@@ -5,13 +5,16 @@
 import flintlead.time.Span;
 
 /**
- * The guard through which every attempt and every load order goes at the moment of writing: new
- * work leaves only for a host whose lease holds then. {@link HostLeases} decides; what leaves
- * against its word is counted as a violation.
+ * Checks the lease of a host before an attempt or a load order is written to its connection: new
+ * work may be sent only while the lease is valid, as {@link HostLeases} decides. Work that was sent
+ * without a valid lease is counted as a violation.
  */
 public final class HostSendGuard {
 
-  /** What has left may have been overtaken by the end of the lease by so much. */
+  /**
+   * A lease that expired at most this long before the write is no violation: it may have expired
+   * between the check and the write.
+   */
   private static final Span WRITE_SLACK = Span.ofMillis(100);
 
   private final HostLeases leases;
@@ -23,25 +26,27 @@
     this.monitor = monitor;
   }
 
-  /** A guard of a gateway whose host list is always current. */
+  /**
+   * Creates the guard of a gateway whose host list is always current, so that every lease is valid.
+   */
   public static HostSendGuard ofAuthoritativeList(InvariantMonitor monitor) {
     return new HostSendGuard(HostLeases.ofAuthoritativeList(), monitor);
   }
 
-  /** Counts violations. */
+  /** Returns the monitor that counts violations. */
   public InvariantMonitor monitor() {
     return monitor;
   }
 
-  /** Decides about hosts. */
+  /** Returns the leases of the hosts. */
   public HostLeases leases() {
     return leases;
   }
 
   /**
-   * Whether new work may leave for the host now.
+   * Decides whether new work may be sent to the host now.
    *
-   * @param clock read at the moment of writing
+   * @param clock the time, read immediately before the write
    */
   public SendVerdict maySend(long host, Moment clock) {
     return switch (leases.permission(host, clock)) {
@@ -52,14 +57,18 @@
   }
 
   /**
-   * New work was handed to the kernel; checks what can't be undone any more.
+   * Checks the lease again after new work was passed to the kernel and can't be recalled any more.
+   * Reports a violation if the lease was not valid.
    *
-   * @param id of the request
-   * @param clock read after that
+   * @param id of the request, for the report
+   * @param clock the time, read after the write
    */
   public void sent(long host, String id, Moment clock) {
     if (!leases.holds(host, clock.minus(WRITE_SLACK))) {
-      monitor.violated(Invariant.LEASE_BEFORE_NEW_WORK, id, "to host " + host);
+      monitor.violated(
+          Invariant.LEASE_BEFORE_NEW_WORK,
+          id,
+          "new work sent without a valid lease to host " + host);
     }
   }
 }
--- a/src/main/java/flintlead/routing/guard/Invariant.java
+++ b/src/main/java/flintlead/routing/guard/Invariant.java
@@ -2,26 +2,37 @@
 
 import java.util.Locale;
 
-/** What must hold for every invocation, whatever peers, network and machine do. */
+/**
+ * Rules that the gateway must not break for any invocation, whatever clients, hosts, network and
+ * machine do.
+ */
 public enum Invariant {
-  /** An invocation gets one final answer, and nothing after it. */
+  /** An invocation gets exactly one final answer, and nothing after it. */
   ONE_FINAL_ANSWER,
-  /** No attempt leaves for an invocation that was answered or whose client has gone. */
+  /**
+   * No attempt is sent for an invocation that was answered, or whose client has disconnected or
+   * cancelled it.
+   */
   NO_ATTEMPT_AFTER_END,
-  /** No attempt leaves on knowledge of the client's connection that is too old. */
+  /** An attempt is sent only if the client's connection was recently known to be open. */
   CLIENT_SEEN_BEFORE_ATTEMPT,
-  /** No attempt is given more time than the client has left. */
+  /** A host is not granted more time for an attempt than the client has left. */
   DEADLINE_NOT_EXTENDED,
-  /** New work leaves only for a host that the list or a proof of its own shows to take it. */
+  /**
+   * New work is sent to a host only while its lease is valid: renewed by a current host list, or by
+   * the host's own answer to a probe or to earlier work.
+   */
   LEASE_BEFORE_NEW_WORK,
-  /** An invocation is answered by its deadline, unless the process stood still. */
+  /** An invocation is answered by its deadline, unless the process was stalled. */
   ANSWER_IN_TIME,
-  /** The gateway does not close a connection whose request has no answer. */
+  /** The gateway does not close a client connection while a request on it is unanswered. */
   ANSWER_BEFORE_CLOSE,
-  /** Requests that were accepted are known to the scheduler, and leave nothing behind. */
+  /**
+   * An accepted request is known to the scheduler, and all of its state is removed when it ends.
+   */
   LIFECYCLE;
 
-  /** The name in log lines. */
+  /** Returns the name that is used in log lines. */
   public String key() {
     return name().toLowerCase(Locale.ROOT);
   }
--- a/src/main/java/flintlead/routing/guard/InvariantMonitor.java
+++ b/src/main/java/flintlead/routing/guard/InvariantMonitor.java
@@ -3,17 +3,17 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** Counts violations of invariants by kind, and passes each on. Not thread-safe. */
+/** Counts the violations of each invariant and reports every one to a listener. Not thread-safe. */
 public final class InvariantMonitor {
 
-  /** Hears of each violation. */
+  /** Is notified of each violation. */
   public interface Listener {
 
     /**
-     * An invariant was violated.
+     * Called once for each violation.
      *
-     * @param id of the invocation, as its client knows it
-     * @param detail what happened, with times
+     * @param id of the invocation: that of the client's request, or a number given by the gateway
+     * @param detail what happened, with the times involved
      */
     void violated(Invariant invariant, String id, String detail);
   }
@@ -21,7 +21,7 @@
   private final Map<Invariant, Long> counts = new EnumMap<>(Invariant.class);
   private final Listener listener;
 
-  /** Creates a monitor that has seen no violation. */
+  /** Creates a monitor with all counts at zero. */
   public InvariantMonitor(Listener listener) {
     this.listener = listener;
   }
@@ -32,12 +32,12 @@
     listener.violated(invariant, id, detail);
   }
 
-  /** Violations of one kind. */
+  /** Number of violations of one invariant. */
   public long count(Invariant invariant) {
     return counts.getOrDefault(invariant, 0L);
   }
 
-  /** Violations of all kinds. */
+  /** Number of violations of all invariants. */
   public long total() {
     return counts.values().stream().mapToLong(Long::longValue).sum();
   }
--- a/src/main/java/flintlead/routing/guard/InvocationGuard.java
+++ b/src/main/java/flintlead/routing/guard/InvocationGuard.java
@@ -4,28 +4,33 @@
 import flintlead.time.Span;
 
 /**
- * Decides for every invocation what may still happen to it: whether it may begin, whether an
- * attempt may leave, whether an answer is the one final answer. All times that it is given are
- * those of a clock read at the moment in question, as the time of the present event may be old.
- * What happens against its word, or can't be undone any more when it is seen, is counted as a
- * violation.
+ * Decides for every invocation whether it may start, whether an attempt may be sent, and whether an
+ * answer is its only final answer. Callers read the clock for each call instead of passing the
+ * event loop's time, which may be out of date by then. Actions that break an invariant, and those
+ * that are noticed only when they can't be undone any more, are counted as violations.
  *
- * <p>The knowledge that a client is still there is never older than {@link #MAX_KNOWLEDGE_AGE} when
- * an attempt leaves: a process may stand still at any time, and what its clients do meanwhile is
- * unread until their sockets are looked at again.
+ * <p>An attempt is sent only if the client's connection was known to be open at most {@link
+ * #MAX_KNOWLEDGE_AGE} ago: the process may stall at any time, and clients that disconnect meanwhile
+ * are not noticed until their sockets are polled again.
  */
 public final class InvocationGuard {
 
-  /** An attempt leaves only if the client was known to be there this short a time ago. */
+  /**
+   * Longest time since the client's connection was last known to be open, for an attempt to be
+   * sent.
+   */
   static final Span MAX_KNOWLEDGE_AGE = Span.ofMillis(40);
 
-  /** An attempt that leaves this long after its client has gone breaks the clients' contract. */
+  /**
+   * An attempt that is sent more than this long after its client has disconnected breaks the
+   * contract with clients.
+   */
   private static final Span ATTEMPT_SLACK = Span.ofMillis(100);
 
-  /** More than this beyond the client's own time must not be passed on to a host. */
+  /** The time granted to a host may exceed the client's remaining time by at most this. */
   private static final Span DEADLINE_SLACK = Span.ofMillis(150);
 
-  /** For so long after a standstill a late answer is the standstill's. */
+  /** For this long after a stall, late answers are attributed to the stall and not reported. */
   private static final Span STANDSTILL_EXCUSE = Span.ofMillis(250);
 
   private final InvariantMonitor monitor;
@@ -36,31 +41,35 @@
     this.monitor = monitor;
   }
 
-  /** Counts the violations. */
+  /** Returns the monitor that counts violations. */
   public InvariantMonitor monitor() {
     return monitor;
   }
 
   /**
-   * An invocation was read. What is left of its time counts from when it may have arrived.
+   * Creates the record of an invocation that was just read. Its timeout runs from the earliest time
+   * at which it may have arrived, which can be long before it was read.
    *
-   * @param earliestArrival at most the present time
-   * @param timeout that its client grants
+   * @param earliestArrival the earliest time at which the request may have arrived; not after the
+   *     present
+   * @param timeout the timeout that the client has set
    */
   public InvocationRecord begin(String id, Moment earliestArrival, Span timeout) {
     return new InvocationRecord(id, earliestArrival, earliestArrival.plus(timeout));
   }
 
-  /** Whether the client's time may be up already: then nothing may be begun for it. */
+  /**
+   * Whether the client may have stopped waiting, so that no work may be started for the invocation.
+   */
   public boolean isExpired(InvocationRecord invocation, Moment clock) {
     return !clock.isBefore(invocation.deadline());
   }
 
   /**
-   * Whether an attempt may leave now.
+   * Decides whether an attempt may be sent now.
    *
    * @param clientSeenAt the latest time at which the client's connection is known to have been open
-   * @param abandonAt when the attempt's answer is no longer waited for
+   * @param abandonAt when the gateway stops waiting for the answer to this attempt
    */
   public SendVerdict maySend(
       InvocationRecord invocation, Moment clientSeenAt, Moment abandonAt, Moment clock) {
@@ -73,66 +82,95 @@
     return isRecent(clientSeenAt, clock) ? SendVerdict.SEND : SendVerdict.LOOK_FIRST;
   }
 
-  /** Whether knowledge of that age may be acted on. */
+  /**
+   * Whether the state of a client's connection that was known at {@code knownAt} is recent enough
+   * to act on.
+   */
   public static boolean isRecent(Moment knownAt, Moment clock) {
     return !clock.since(knownAt).isLongerThan(MAX_KNOWLEDGE_AGE);
   }
 
   /**
-   * An attempt has left; checks what can't be undone any more.
+   * Checks the invariants of an attempt that was sent and can't be recalled any more, and reports
+   * violations.
    *
-   * @param granted the time that the host was given
-   * @param clock read after the attempt was handed to the kernel
+   * @param granted the time that the host was granted to answer
+   * @param clock the time, read after the attempt was passed to the kernel
    */
   public void sent(InvocationRecord invocation, Moment clientSeenAt, Span granted, Moment clock) {
     if (!invocation.isOpen()) {
-      violated(Invariant.NO_ATTEMPT_AFTER_END, invocation, "in phase " + invocation.phase());
+      violated(
+          Invariant.NO_ATTEMPT_AFTER_END,
+          invocation,
+          "attempt sent in phase " + invocation.phase());
     }
     Span unseen = clock.since(clientSeenAt);
     if (unseen.isLongerThan(ATTEMPT_SLACK)) {
-      violated(Invariant.CLIENT_SEEN_BEFORE_ATTEMPT, invocation, "unseen for " + millis(unseen));
+      violated(
+          Invariant.CLIENT_SEEN_BEFORE_ATTEMPT,
+          invocation,
+          "attempt sent although the client's connection was not known to be open for "
+              + millis(unseen));
     }
     Span left = invocation.deadline().since(clock);
     if (granted.isLongerThan(left.plus(DEADLINE_SLACK))) {
       violated(
-          Invariant.DEADLINE_NOT_EXTENDED, invocation, millis(granted) + " of " + millis(left));
+          Invariant.DEADLINE_NOT_EXTENDED,
+          invocation,
+          millis(granted) + " granted to a host, the client's remaining time is " + millis(left));
     }
   }
 
-  /** The final answer is about to be given; false where that must not happen. */
+  /**
+   * Marks the invocation as answered, right before its final answer is sent. Returns false and
+   * reports a violation if the invocation has ended before; the answer must not be sent then.
+   */
   public boolean mayAnswer(InvocationRecord invocation) {
     if (invocation.become(InvocationPhase.ANSWERED)) {
       return true;
     }
-    violated(Invariant.ONE_FINAL_ANSWER, invocation, "in phase " + invocation.phase());
+    violated(
+        Invariant.ONE_FINAL_ANSWER,
+        invocation,
+        "another final answer in phase " + invocation.phase());
     return false;
   }
 
-  /** The client has gone; false where the invocation had ended before. */
+  /**
+   * Marks the invocation's client as gone: it has disconnected or cancelled the invocation. Returns
+   * false if the invocation has ended before.
+   */
   public boolean clientGone(InvocationRecord invocation) {
     return invocation.become(InvocationPhase.CLIENT_GONE);
   }
 
-  /** The gateway closes the connection of an invocation that is open. */
+  /**
+   * Reports that the gateway closes a client connection while an invocation on it is unanswered.
+   */
   public void closedUnanswered(InvocationRecord invocation, String reason) {
     violated(Invariant.ANSWER_BEFORE_CLOSE, invocation, reason);
   }
 
-  /** An invocation was found without an answer after its time. */
+  /**
+   * Reports an invocation that is unanswered after its deadline, unless the process has just been
+   * stalled.
+   */
   public void overdue(InvocationRecord invocation, Moment clock) {
     if (clock.isAfter(excusedUntil)) {
       Span late = clock.since(invocation.deadline());
       violated(
-          Invariant.ANSWER_IN_TIME, invocation, "open " + millis(late) + " after its deadline");
+          Invariant.ANSWER_IN_TIME,
+          invocation,
+          "unanswered " + millis(late) + " after its deadline");
     }
   }
 
-  /** A part of the gateway failed on the invocation. */
+  /** Reports an exception of a part of the gateway that processed the invocation. */
   public void failed(InvocationRecord invocation, RuntimeException cause) {
     violated(Invariant.LIFECYCLE, invocation, cause.toString());
   }
 
-  /** The process stood still and runs again since now. */
+  /** Records that the process was stalled and runs again from now on. */
   public void stoodStill(Moment clock) {
     excusedUntil = clock.plus(STANDSTILL_EXCUSE);
   }
--- a/src/main/java/flintlead/routing/guard/InvocationPhase.java
+++ b/src/main/java/flintlead/routing/guard/InvocationPhase.java
@@ -1,12 +1,12 @@
 package flintlead.routing.guard;
 
-/** Where an invocation is, as far as its client is concerned. */
+/** The phases of an invocation from its client's point of view. */
 public enum InvocationPhase {
-  /** Accepted; its final answer is owed. */
+  /** Accepted and not answered yet. */
   OPEN,
-  /** It was given its final answer. */
+  /** Its final answer was sent. */
   ANSWERED,
-  /** Its client has gone, or has cancelled it: no answer is owed. */
+  /** Its client has disconnected or cancelled it: no answer is due. */
   CLIENT_GONE;
 
   /** Whether the transition to the next phase is allowed. */
--- a/src/main/java/flintlead/routing/guard/InvocationRecord.java
+++ b/src/main/java/flintlead/routing/guard/InvocationRecord.java
@@ -5,12 +5,12 @@
 import java.util.List;
 
 /**
- * One invocation as the {@link InvocationGuard} knows it, with the history of what happened to it.
- * Only the guard changes its phase.
+ * The {@link InvocationGuard}'s record of one invocation: its phase, its deadline and its history
+ * for log lines. Only the guard changes the phase.
  */
 public final class InvocationRecord {
 
-  /** Events kept of one invocation; later ones are counted. */
+  /** Maximum number of events kept for an invocation; later ones are only counted. */
   private static final int MAX_EVENTS = 32;
 
   private record Event(Moment at, String text) {}
@@ -28,7 +28,7 @@
     this.deadline = deadline;
   }
 
-  /** The id, as its client knows it. */
+  /** The id of the client's request, or a number given by the gateway. */
   public String id() {
     return id;
   }
@@ -38,22 +38,22 @@
     return arrivedAt;
   }
 
-  /** When the client stops waiting, at the earliest. */
+  /** The earliest time at which the client stops waiting. */
   public Moment deadline() {
     return deadline;
   }
 
-  /** The phase it is in. */
+  /** The current phase. */
   public InvocationPhase phase() {
     return phase;
   }
 
-  /** Whether its final answer is owed. */
+  /** Whether its final answer is still due. */
   public boolean isOpen() {
     return phase == InvocationPhase.OPEN;
   }
 
-  /** Adds to its history. */
+  /** Adds an event to its history. */
   public void note(Moment at, String text) {
     if (events.size() < MAX_EVENTS) {
       events.add(new Event(at, text));
@@ -62,7 +62,7 @@
     }
   }
 
-  /** Its history with milliseconds since it arrived, as one line. */
+  /** Its history as one line, with the milliseconds from its arrival to each event. */
   public String history() {
     StringBuilder line = new StringBuilder();
     for (Event event : events) {
@@ -76,7 +76,7 @@
     return line.toString();
   }
 
-  /** Changes the phase where that is allowed; whether it was. */
+  /** Changes the phase if the transition is allowed. Returns whether it was. */
   boolean become(InvocationPhase next) {
     boolean allowed = phase.mayBecome(next);
     phase = allowed ? next : phase;
--- a/src/main/java/flintlead/routing/guard/SendVerdict.java
+++ b/src/main/java/flintlead/routing/guard/SendVerdict.java
@@ -1,17 +1,28 @@
 package flintlead.routing.guard;
 
-/** Whether an attempt may leave now. */
+/** Whether a request may be sent to a host now and, if not, the reason. */
 public enum SendVerdict {
-  /** It may leave. */
+  /** It may be sent. */
   SEND,
-  /** The sockets were not looked at for too long: it waits until they were. */
+  /**
+   * The sockets were not polled recently, so its client may have disconnected unnoticed: it waits
+   * for the next poll.
+   */
   LOOK_FIRST,
-  /** The host's lease has ended: the host is probed first. */
+  /** The host's lease has expired: the host must answer a probe first. */
   PROVE_FIRST,
-  /** The host's lease has ended and nothing can renew it now: it must not leave for this host. */
+  /**
+   * The host's lease has expired and can't be renewed now: the request must not be sent to this
+   * host.
+   */
   UNPROVEN,
-  /** The invocation was answered, or its client has gone: it must never leave. */
+  /**
+   * The invocation was answered, or its client has gone: the request must not be sent to any host.
+   */
   ENDED,
-  /** The client's time is up: it must never leave. */
+  /**
+   * The client or the gateway no longer waits for the answer: the request must not be sent to any
+   * host.
+   */
   EXPIRED
 }
--- a/src/main/java/flintlead/routing/guard/package-info.java
+++ b/src/main/java/flintlead/routing/guard/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The guard through which every start, attempt, final answer and end of an invocation goes, in both
- * gateways. It knows the allowed transitions and how old the gateway's knowledge of a client may
- * be, and counts what breaks an invariant all the same. Pure: no I/O, no clock, no thread.
+ * Checks every start, attempt, final answer and end of an invocation, in both gateways. Enforces
+ * the allowed transitions, limits how long ago a client's connection was last known to be open when
+ * an attempt is sent, and counts violations of invariants. Pure: no I/O, no clock, no threads.
  */
 package flintlead.routing.guard;
--- a/src/test/java/flintlead/routing/guard/InvocationGuardTest.java
+++ b/src/test/java/flintlead/routing/guard/InvocationGuardTest.java
@@ -10,7 +10,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The allowed transitions of an invocation, and a violation of each invariant. */
+/**
+ * Allowed transitions of an invocation, and one violation of each invariant that the guard checks.
+ */
 class InvocationGuardTest {
 
   private static final Moment START = new Moment(1_000_000);
