--- a/src/main/java/flintlead/routing/pending/PendingResponses.java
+++ b/src/main/java/flintlead/routing/pending/PendingResponses.java
@@ -9,10 +9,10 @@
 import java.util.function.Consumer;
 
 /**
- * All invocations that were admitted and have no final response yet. It passes on one final
- * response for each, withholds and reports a second one, and names invocations whose deadline has
- * passed without any, so that the gateway responds whatever went wrong in the parts above. Pure and
- * not thread-safe: used on the gateway's event loop.
+ * The admitted invocations that have no final response yet. Forwards the first final response to
+ * each, drops and reports any further one, and lists the invocations whose deadline has passed
+ * without a response, so that the gateway responds even when a layer above is faulty. Pure; not
+ * thread-safe: used on the gateway's event loop.
  *
  * @param <A> type of the responses
  */
@@ -33,9 +33,10 @@
   private long expired;
 
   /**
-   * @param slack how long after its deadline an invocation may still get its response
-   * @param alarm receives a line whenever this had to step in, which means that a part above it is
-   *     faulty
+   * @param slack how long after its deadline an invocation may still get its response before it
+   *     counts as expired
+   * @param alarm receives a message for each dropped response and each missed deadline; either
+   *     means that a layer above is faulty
    */
   public PendingResponses(Span slack, Consumer<String> alarm) {
     this.slack = slack;
@@ -46,22 +47,26 @@
    * Registers an admitted invocation.
    *
    * @param recipient receives its one final response
-   * @throws IllegalStateException when the invocation is pending already
+   * @throws IllegalStateException if the invocation is already pending
    */
   public void register(long invocation, Moment deadline, Consumer<A> recipient) {
     if (pending.putIfAbsent(invocation, new PendingResponse<>(deadline, recipient)) != null) {
-      throw new IllegalStateException("invocation " + invocation + " is registered already");
+      throw new IllegalStateException("invocation " + invocation + " is already registered");
     }
     registered++;
   }
 
-  /** Passes the response on where it is the first; whether it was. */
+  /**
+   * Forwards the final response of a pending invocation. A response to any other invocation is
+   * dropped and reported as a duplicate.
+   *
+   * @return whether the response was forwarded
+   */
   public boolean complete(long invocation, A response) {
     PendingResponse<A> entry = pending.remove(invocation);
     if (entry == null) {
       duplicates++;
-      alarm.accept(
-          "a second final response to invocation " + invocation + " was withheld: " + response);
+      alarm.accept("dropped a second final response to invocation " + invocation + ": " + response);
       return false;
     }
     completed++;
@@ -69,7 +74,10 @@
     return true;
   }
 
-  /** The client has disconnected: no response is due any more. Whether one was. */
+  /**
+   * Removes an invocation whose client has disconnected, so that no response is due any more.
+   * Returns whether it was pending.
+   */
   public boolean discard(long invocation) {
     boolean wasPending = pending.remove(invocation) != null;
     discarded += wasPending ? 1 : 0;
@@ -82,8 +90,8 @@
   }
 
   /**
-   * The invocations whose deadline, with the slack, has passed; the caller must respond to them at
-   * once.
+   * Returns and reports the invocations whose deadline plus slack has passed; the caller must
+   * respond to them at once.
    */
   public List<Long> expired(Moment now) {
     List<Long> late = new ArrayList<>(0);
@@ -100,7 +108,7 @@
     return late;
   }
 
-  /** All invocations without a final response, the oldest first. */
+  /** All invocations without a final response, oldest first. */
   public List<Long> pendingInvocations() {
     return new ArrayList<>(pending.keySet());
   }
@@ -110,27 +118,27 @@
     return pending.size();
   }
 
-  /** Invocations registered so far. */
+  /** Number of invocations registered so far. */
   public long registered() {
     return registered;
   }
 
-  /** Invocations whose response was passed on. */
+  /** Number of invocations whose response was forwarded. */
   public long completed() {
     return completed;
   }
 
-  /** Invocations whose client disconnected before. */
+  /** Number of invocations whose client disconnected before the response. */
   public long discarded() {
     return discarded;
   }
 
-  /** Second responses that were withheld. */
+  /** Number of second responses that were dropped. */
   public long duplicateResponses() {
     return duplicates;
   }
 
-  /** How often an invocation had no response at its deadline. */
+  /** Number of times that an invocation was found without a response after its deadline. */
   public long expiredCount() {
     return expired;
   }
--- a/src/test/java/flintlead/routing/pending/PendingResponsesTest.java
+++ b/src/test/java/flintlead/routing/pending/PendingResponsesTest.java
@@ -17,7 +17,10 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Exactly one response for each admitted invocation, whatever the gateway above does. */
+/**
+ * Each admitted invocation gets exactly one response, in whatever order the gateway makes its
+ * calls.
+ */
 class PendingResponsesTest {
 
   private final List<String> alarms = new ArrayList<>();
