--- a/src/main/java/flintlead/routing/admission/AdmissionController.java
+++ b/src/main/java/flintlead/routing/admission/AdmissionController.java
@@ -5,35 +5,35 @@
 import java.util.Random;
 
 /**
- * Bounds the invocations and payload bytes in a gateway and shares them between sources: clients'
- * connections, or the program around the library.
+ * Limits the invocations in flight and their payload bytes in a gateway, and divides this capacity
+ * between sources. A source is a client connection, or the application that embeds the gateway.
  *
- * <p>A source may have at most a multiple of the room that is left: dynamic thresholds (Choudhury
- * and Hahne, "Dynamic Queue Length Thresholds for Shared-Memory Packet Switches", 1998, section
- * III). However many invocations one client sends, there is room for the next client's; no source
- * needs a quota of its own, and a single source may use most of an idle gateway. An invocation over
- * the threshold is throttled at once, which the client sees; a connection over its own window is
- * not read, so that the rest waits in the kernel.
+ * <p>A source may use at most a multiple of the free capacity: dynamic thresholds (Choudhury and
+ * Hahne, "Dynamic Queue Length Thresholds for Shared-Memory Packet Switches", 1998, section III).
+ * However many invocations one client sends, there is capacity left for the next client; no source
+ * needs its own quota, and a single source may use most of an idle gateway. An invocation above the
+ * threshold is throttled at once, which the client sees. A connection that reaches its own window
+ * is not read, so that further requests wait in the kernel's socket buffer.
  *
- * <p>Pure and not thread-safe: used on the gateway's event loop.
+ * <p>Pure; not thread-safe: used on the gateway's event loop.
  */
 public final class AdmissionController {
 
   /**
-   * The bounds.
+   * The limits.
    *
-   * @param maxInvocations invocations at once, from all sources
-   * @param maxBytes payload bytes of those
-   * @param freeShareMultiple what one source may have as a multiple of the room that is left: with
-   *     4, a lone source may fill four fifths
-   * @param connectionWindow invocations of one connection, beyond which it is not read
-   * @param connectionWindowBytes payload bytes of one connection, beyond which it is not read
-   * @param unsentPauseBytes response bytes that a client has not read yet, beyond which its
-   *     connection is not read
-   * @param unsentCloseBytes response bytes that a client has not read yet, beyond which its
-   *     connection is closed at once
-   * @param unsentTimeout how long a client may leave responses unread before its connection is
-   *     closed
+   * @param maxInvocations invocations in flight from all sources
+   * @param maxBytes payload bytes of these invocations
+   * @param freeShareMultiple limit of one source as a multiple of the free capacity: with 4, a
+   *     single source can fill four fifths of the capacity
+   * @param connectionWindow a connection with this many invocations in flight is not read
+   * @param connectionWindowBytes a connection with this many payload bytes in flight is not read
+   * @param unsentPauseBytes a connection whose client has this many unread response bytes is not
+   *     read
+   * @param unsentCloseBytes a connection whose client has more unread response bytes than this is
+   *     closed at once
+   * @param unsentTimeout a connection whose client has unread responses but reads nothing for
+   *     longer than this is closed
    */
   public record Limits(
       int maxInvocations,
@@ -45,14 +45,14 @@
       long unsentCloseBytes,
       Span unsentTimeout) {
 
-    /** Bounds of a gateway that is not configured otherwise. */
+    /** The limits that apply unless others are configured. */
     public static final Limits DEFAULTS =
         new Limits(
             10_000, 64L << 20, 4, 4_096, 16L << 20, 1L << 20, 32L << 20, Span.ofMillis(10_000));
 
     /**
-     * @throws IllegalArgumentException when a bound is not positive, or the two of unread responses
-     *     are out of order
+     * @throws IllegalArgumentException if a limit is not positive, or {@code unsentCloseBytes} is
+     *     below {@code unsentPauseBytes}
      */
     public Limits {
       if (maxInvocations < 1
@@ -64,20 +64,20 @@
           || unsentCloseBytes < unsentPauseBytes
           || unsentTimeout.micros() < 1) {
         throw new IllegalArgumentException(
-            "every bound must be above zero, and unsentCloseBytes at least unsentPauseBytes");
+            "every limit must be above zero, and unsentCloseBytes at least unsentPauseBytes");
       }
     }
   }
 
-  /** What one source has in the gateway. */
+  /** The share of the gateway's capacity that one source uses. */
   public static final class Source {
     private int invocations;
     private long bytes;
 
-    /** Response bytes that the client has not read. */
+    /** Response bytes that the client has not read yet. */
     private long unsentBytes;
 
-    /** Since when the client has read nothing of them; null where there are none. */
+    /** Time since which the client has read none of these bytes; null if there are none. */
     private Moment unreadSince;
 
     private boolean paused;
@@ -87,22 +87,25 @@
       return invocations;
     }
 
-    /** Payload bytes of those. */
+    /** Payload bytes of the invocations in flight. */
     public long bytes() {
       return bytes;
     }
   }
 
   /**
-   * A paused connection is read again below this part of its bounds, so that it doesn't change with
-   * each response.
+   * A paused connection is read again below this fraction of its limits. The gap keeps it from
+   * being paused and resumed with each response.
    */
   private static final double RESUME_FRACTION = 0.75;
 
-  /** The shortest time that a throttled client is told to wait. */
+  /** Shortest retry delay that a throttled client is given. */
   private static final Span MIN_RETRY_AFTER = Span.ofMillis(100);
 
-  /** How much longer that time is in a full gateway, as a multiple. */
+  /**
+   * How much longer the retry delay is in a full gateway than in an empty one, as a multiple of the
+   * shortest.
+   */
   private static final double FULL_EXTRA = 2;
 
   private final Limits limits;
@@ -111,7 +114,7 @@
   private long bytes;
 
   /**
-   * @param random spreads the times that throttled clients are told to wait
+   * @param random spreads the retry delays of throttled clients
    */
   public AdmissionController(Limits bounds, Random random) {
     this.limits = bounds;
@@ -119,8 +122,10 @@
   }
 
   /**
-   * Whether one more invocation of the source is admitted; if so, it is counted until it is
-   * released.
+   * Admits one more invocation of the source if the limits allow it. An admitted invocation is
+   * counted until it is released.
+   *
+   * @return whether it was admitted
    */
   public boolean tryAdmit(Source source, long payloadBytes) {
     double room = limits.freeShareMultiple * (limits.maxInvocations - admitted);
@@ -136,7 +141,9 @@
     return true;
   }
 
-  /** An admitted invocation has its final response, or its client has disconnected. */
+  /**
+   * Releases an admitted invocation that has its final response or whose client has disconnected.
+   */
   public void release(Source source, long payloadBytes) {
     admitted--;
     bytes -= payloadBytes;
@@ -144,7 +151,7 @@
     source.bytes -= payloadBytes;
   }
 
-  /** Whether more may be read from the source now. */
+  /** Whether more requests may be read from the source's connection now. */
   public boolean mayRead(Source source) {
     double fraction = source.paused ? RESUME_FRACTION : 1;
     source.paused =
@@ -154,19 +161,22 @@
     return !source.paused;
   }
 
-  /** Notes how many response bytes the client has not read. */
+  /** Records how many response bytes the client has not read yet. */
   public void recordUnsent(Source source, long unsentBytes, Moment now) {
     if (unsentBytes == 0) {
       source.unreadSince = null;
     } else if (source.unsentBytes == 0
         || unsentBytes < source.unsentBytes && source.unreadSince != null) {
-      // The client reads, however slowly: its time starts anew.
+      // The first unread bytes, or the client reads, however slowly: its timeout starts again.
       source.unreadSince = now;
     }
     source.unsentBytes = unsentBytes;
   }
 
-  /** Whether the source has left responses unread for too long, or too many of them. */
+  /**
+   * Whether the connection must be closed because the client has left responses unread for too
+   * long, or too many response bytes.
+   */
   public boolean shouldClose(Source source, Moment now) {
     return source.unsentBytes > limits.unsentCloseBytes
         || source.unreadSince != null
@@ -174,25 +184,25 @@
   }
 
   /**
-   * How long a throttled client is told to wait: longer the fuller the gateway is, and up to twice
-   * that by chance.
+   * Returns the time after which a throttled client may retry. It grows with the number of admitted
+   * invocations; a random factor from 1 to 2 spreads the retries.
    */
   public Span retryAfter() {
     double fullness = (double) admitted / limits.maxInvocations;
     return MIN_RETRY_AFTER.times((1 + FULL_EXTRA * fullness) * (1 + random.nextDouble()));
   }
 
-  /** Admitted invocations that are not released. */
+  /** Number of invocations admitted and not yet released. */
   public int admitted() {
     return admitted;
   }
 
-  /** Payload bytes of those. */
+  /** Payload bytes of these invocations. */
   public long bytes() {
     return bytes;
   }
 
-  /** The bounds that hold. */
+  /** The limits in force. */
   public Limits limits() {
     return limits;
   }
--- a/src/main/java/flintlead/routing/admission/ConnectionLimiter.java
+++ b/src/main/java/flintlead/routing/admission/ConnectionLimiter.java
@@ -6,15 +6,16 @@
 import java.util.Set;
 
 /**
- * Bounds the number of a front's connections. At the bound, a connection that has been idle for
- * long enough makes room for a new one; one with invocations in flight never does. Pure and not
- * thread-safe: used on the front's event loop.
+ * Limits the number of a front's client connections. At the limit, the connection that has been
+ * idle longest is closed for a new one, if it has been idle long enough; a connection with
+ * invocations in flight is never closed for that. Pure; not thread-safe: used on the front's event
+ * loop.
  *
- * @param <C> a connection
+ * @param <C> type of the connections
  */
 public final class ConnectionLimiter<C> {
 
-  /** A connection with its idle time. */
+  /** A connection and the time since which it has been idle. */
   public final class TrackedConnection {
     private final C connection;
     private Moment idleSince;
@@ -33,14 +34,15 @@
   private final int maxConnections;
   private final Span minIdleTime;
 
-  /** The idle connections, the one that has been idle longest first. */
+  /** The idle connections, in order of idle time, longest first. */
   private final Set<TrackedConnection> idle = new LinkedHashSet<>();
 
   private int connections;
 
   /**
-   * @param maxConnections connections at once
-   * @param minIdleTime how long a connection must have been idle before it makes room
+   * @param maxConnections maximum number of open connections
+   * @param minIdleTime how long a connection must have been idle before it may be closed for a new
+   *     one
    */
   public ConnectionLimiter(int maxConnections, Span minIdleTime) {
     this.maxConnections = maxConnections;
@@ -48,16 +50,16 @@
   }
 
   /**
-   * Whether one more connection may be accepted, after {@link #evictionCandidate} has been closed
-   * where there is one.
+   * Whether one more connection may be accepted. If {@link #evictionCandidate} returns a
+   * connection, that one must be closed first.
    */
   public boolean canAccept(Moment now) {
     return connections < maxConnections || evictionCandidate(now) != null;
   }
 
   /**
-   * The idle connection that must be closed before another is accepted; null where there is room,
-   * or none may be closed.
+   * Returns the idle connection that must be closed before another one is accepted; null if the
+   * limit is not reached, or no connection may be closed.
    */
   public TrackedConnection evictionCandidate(Moment now) {
     if (connections < maxConnections || idle.isEmpty()) {
@@ -67,7 +69,7 @@
     return now.since(longestIdle.idleSince).isShorterThan(minIdleTime) ? null : longestIdle;
   }
 
-  /** Adds a connection, idle from now on. */
+  /** Adds a connection that is idle from now on. */
   public TrackedConnection add(C connection, Moment now) {
     TrackedConnection tracked = new TrackedConnection(connection, now);
     connections++;
@@ -75,7 +77,7 @@
     return tracked;
   }
 
-  /** Notes whether the connection has invocations in flight. */
+  /** Records whether the connection has invocations in flight. */
   public void setBusy(TrackedConnection connection, boolean busy, Moment now) {
     if (busy) {
       idle.remove(connection);
@@ -84,7 +86,7 @@
     }
   }
 
-  /** Removes a connection that is closed; to be called once for each. */
+  /** Removes a closed connection; must be called exactly once for each connection. */
   public void remove(TrackedConnection connection) {
     connections--;
     idle.remove(connection);
--- a/src/test/java/flintlead/routing/admission/AdmissionControllerTest.java
+++ b/src/test/java/flintlead/routing/admission/AdmissionControllerTest.java
@@ -19,7 +19,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** No bound is ever exceeded, and no client can leave another without room. */
+/** No limit is ever exceeded, and no client can use up the capacity for all others. */
 class AdmissionControllerTest {
 
   private static Limits bounds(int taken, double share) {
@@ -60,8 +60,8 @@
   }
 
   /**
-   * With a share of 4, one source alone fills four fifths; ten thousand of its calls leave room for
-   * ten.
+   * With a multiple of 4, a single source can fill four fifths of the capacity: after ten thousand
+   * calls of a greedy source, ten calls of another one are still admitted.
    */
   @Test
   void aGreedySourceLeavesRoomForTheNext() {
@@ -91,7 +91,7 @@
     assertFalse(admission.mayRead(source));
     admission.release(source, 1);
     admission.release(source, 1);
-    assertFalse(admission.mayRead(source), "8 of 10 left: not yet");
+    assertFalse(admission.mayRead(source), "8 of 10 are in flight, more than three quarters");
     admission.release(source, 1);
     assertTrue(admission.mayRead(source));
   }
@@ -107,9 +107,11 @@
     admission.recordUnsent(source, 900, new Moment(100_001));
     assertFalse(
         admission.shouldClose(source, new Moment(150_000)),
-        "it has read something: its time starts anew");
+        "reading some bytes restarts the client's timeout");
     admission.recordUnsent(source, 5_001, new Moment(100_002));
-    assertTrue(admission.shouldClose(source, new Moment(100_002)), "over the most at once");
+    assertTrue(
+        admission.shouldClose(source, new Moment(100_002)),
+        "more unread bytes than unsentCloseBytes");
     admission.recordUnsent(source, 0, new Moment(100_003));
     assertTrue(admission.mayRead(source) && !admission.shouldClose(source, new Moment(9_000_000)));
   }
@@ -130,14 +132,16 @@
     ConnectionLimiter<String> limiter = new ConnectionLimiter<>(2, Span.ofMillis(10));
     ConnectionLimiter<String>.TrackedConnection first = limiter.add("first", new Moment(0));
     ConnectionLimiter<String>.TrackedConnection second = limiter.add("second", new Moment(1));
-    assertFalse(limiter.canAccept(new Moment(9_000)), "nobody has been idle for long enough");
+    assertFalse(limiter.canAccept(new Moment(9_000)), "no connection has been idle for 10 ms");
     assertSame(first, limiter.evictionCandidate(new Moment(10_000)));
     limiter.setBusy(first, true, new Moment(10_000));
     assertNull(limiter.evictionCandidate(new Moment(10_000)));
     assertSame(second, limiter.evictionCandidate(new Moment(10_001)));
     limiter.setBusy(first, false, new Moment(20_000));
     limiter.setBusy(second, true, new Moment(20_000));
-    assertFalse(limiter.canAccept(new Moment(29_999)), "idle time runs from its last answer");
+    assertFalse(
+        limiter.canAccept(new Moment(29_999)),
+        "the first has been idle for only 9.999 ms since its last invocation");
     limiter.remove(second);
     assertTrue(limiter.canAccept(new Moment(20_001)));
   }
