--- a/src/main/java/flintlead/routing/pool/EvaluationWindow.java
+++ b/src/main/java/flintlead/routing/pool/EvaluationWindow.java
@@ -4,18 +4,21 @@
 import flintlead.time.Span;
 
 /**
- * Responses to a pool's own invocations since the pool was last evaluated. Invocations spilled in
- * from other pools are left out: they may be slow because their instances have to load first. Not
- * thread-safe.
+ * Statistics of the responses to a pool's own invocations since the pool was last evaluated.
+ * Invocations spilled in from other pools are excluded: they may be slow because their instances
+ * have to load first. Not thread-safe.
  */
 final class EvaluationWindow {
 
-  /** A pool is evaluated at most once in this time. */
+  /** Shortest time between two evaluations of a pool. */
   static final Span INTERVAL = Span.ofMillis(200);
 
   private static final int MIN_RESPONSES = 10;
 
-  /** Fewer responses than the minimum are waited with for this long at most. */
+  /**
+   * Longest time for which a window with fewer than {@link #MIN_RESPONSES} responses waits for
+   * more.
+   */
   private static final Span MAX_WAIT = Span.ofMillis(5_000);
 
   private int responses;
@@ -43,7 +46,7 @@
   }
 
   /**
-   * Whether the pool is to be evaluated now.
+   * Whether the pool should be evaluated now.
    *
    * @param mayWait whether a window with too few responses may wait for more
    */
--- a/src/main/java/flintlead/routing/pool/HashFraction.java
+++ b/src/main/java/flintlead/routing/pool/HashFraction.java
@@ -5,15 +5,15 @@
 
 /**
  * Maps names evenly to the interval from 0 (inclusive) to 1 (exclusive). The result depends on the
- * name and the salt only, so that all gateways agree on it. Each question has a salt of its own;
- * with one salt for all, the answers would be correlated.
+ * name and the salt only, so that all gateways agree on it. Each kind of decision has its own salt;
+ * with a common salt, the decisions about one name would be correlated.
  */
 enum HashFraction {
   /** Which of two layouts routes a function during a transition. */
   TRANSITION(0x51ed270b),
   /** Which target of a split route is taken. */
   SPLIT(0x2545f491),
-  /** Whether a pool in trouble spills a function. */
+  /** Whether an unavailable or failing pool spills a function. */
   SPILL(0x1b873593),
   /** Whether a pool accepts a function that another pool spills. */
   ACCEPT(0x0e6546b6);
--- a/src/main/java/flintlead/routing/pool/Layout.java
+++ b/src/main/java/flintlead/routing/pool/Layout.java
@@ -13,7 +13,7 @@
 public final class Layout {
 
   /**
-   * So that the pools of two layouts, of which one passes into the other, have an id each ({@link
+   * Small enough that during a transition each pool of both layouts has its own id (see {@link
    * PoolRouter#MAX_POOL_IDS}).
    */
   public static final int MAX_POOLS = 24;
@@ -24,16 +24,16 @@
   public static final Layout DEFAULT =
       new Layout(List.of(Pool.of("all", Selector.ALL)), List.of(Route.catchAll("all")));
 
-  /** A host as far as pools select it. */
+  /** The properties of a host by which pools select it, and whether it is ready. */
   public record HostDescriptor(String name, int zone, int kind, boolean ready) {}
 
-  /** By name, in its order. */
+  /** By name, sorted. */
   private final Map<String, Pool> pools = new TreeMap<>();
 
   private final List<Route> routes;
 
   /**
-   * @throws IllegalArgumentException when two pools have the same name
+   * @throws IllegalArgumentException if two pools have the same name
    */
   public Layout(Collection<Pool> pools, List<Route> routes) {
     for (Pool pool : pools) {
@@ -54,7 +54,7 @@
     return pools.get(name);
   }
 
-  /** The names of the pools, in order. */
+  /** The names of the pools, sorted. */
   Set<String> poolNames() {
     return Collections.unmodifiableSet(pools.keySet());
   }
@@ -65,12 +65,15 @@
     return own != null && own.selector().equals(other.selector());
   }
 
-  /** The routes: of those that match an invocation the first counts. */
+  /** The routes in order; the first one that matches an invocation applies. */
   public List<Route> routes() {
     return routes;
   }
 
-  /** Pools that some route leads to with a weight above 0, in the order of the routes. */
+  /**
+   * Names of the pools that some route sends invocations to with a weight above 0, in the order of
+   * the routes.
+   */
   public Set<String> usedPools() {
     return routes.stream()
         .flatMap(route -> route.targets().stream())
@@ -79,7 +82,7 @@
         .collect(Collectors.toCollection(LinkedHashSet::new));
   }
 
-  /** Number of the hosts that the pool selects and that are ready. */
+  /** Number of ready hosts that the pool selects. */
   public static long countReadyHosts(Pool pool, Collection<HostDescriptor> hosts) {
     return hosts.stream()
         .filter(
@@ -88,39 +91,42 @@
   }
 
   /**
-   * What is wrong in the layout itself.
+   * Checks the layout on its own, without hosts.
    *
-   * @return each fault with what to do; none where it can be used
+   * @return each fault with how to correct it; empty if the layout is valid
    */
   public List<String> validate() {
     return new LayoutValidator(this).faults();
   }
 
   /**
-   * What is wrong with the layout for such hosts: a pool in use without a ready host, and patterns
-   * that no host matches.
+   * Checks the layout against a list of hosts. Returns a fault for each used pool without enough
+   * ready hosts, and for each pattern that no host matches.
    */
   public List<String> validate(Collection<HostDescriptor> hosts) {
     return new LayoutValidator(this).faultsWith(hosts);
   }
 
-  /** Names in routes that are not among the known ones. */
+  /**
+   * Checks the names in routes. Returns a fault for each route with trigger types or customers that
+   * are not among the known ones.
+   */
   public List<String> validateNames(Set<String> triggerTypes, Set<String> customers) {
     return new LayoutValidator(this).unknownNames(triggerTypes, customers);
   }
 
   /**
-   * The text under which the layout is stored: a line for each pool and each route, which begins
-   * with a tab.
+   * Returns the text in which the layout is stored: a line for each pool and each route, which
+   * begins with a tab.
    */
   public String toText() {
     return LayoutCodec.encode(this);
   }
 
   /**
-   * Reads what {@link LayoutCodec} has written.
+   * Parses the lines of {@link #toText}.
    *
-   * @throws IllegalArgumentException when a line is neither a pool nor a route
+   * @throws IllegalArgumentException if a line is neither a pool nor a route
    */
   public static Layout parse(List<String> lines) {
     return LayoutCodec.decode(lines);
--- a/src/main/java/flintlead/routing/pool/LayoutCodec.java
+++ b/src/main/java/flintlead/routing/pool/LayoutCodec.java
@@ -6,20 +6,20 @@
 import java.util.stream.Collectors;
 
 /**
- * The text form of layouts, in which versions of the configuration are stored and compared: a line
+ * Encodes layouts as text, in which versions of the configuration are stored and compared: a line
  * for each pool and each route, with tab-separated fields after a leading tab.
  */
 final class LayoutCodec {
 
   private static final String FIELD_SEPARATOR = "\t";
 
-  /** Between the elements of a list: no name contains it. */
+  /** Separates the elements of a list; no name contains it. */
   private static final String LIST_SEPARATOR = "\u001f";
 
   private static final String POOL_LINE = "pool";
   private static final String ROUTE_LINE = "route";
 
-  /** Fields of a line, the empty one before the leading tab among them. */
+  /** Number of fields of a line, including the empty one before the leading tab. */
   private static final int POOL_FIELDS = 9;
 
   private static final int ROUTE_FIELDS = 8;
@@ -71,7 +71,7 @@
   }
 
   /**
-   * @throws IllegalArgumentException when a line is neither a pool nor a route
+   * @throws IllegalArgumentException if a line is neither a pool nor a route
    */
   static Layout decode(List<String> lines) {
     List<Pool> pools = new ArrayList<>();
@@ -83,7 +83,8 @@
       } else if (fields.length == ROUTE_FIELDS && fields[1].equals(ROUTE_LINE)) {
         routes.add(decodeRoute(fields));
       } else {
-        throw new IllegalArgumentException("not a line of a pool or a route: " + line.strip());
+        throw new IllegalArgumentException(
+            "expected a line of a pool or a route, got: " + line.strip());
       }
     }
     return new Layout(pools, routes);
@@ -117,7 +118,7 @@
   private static Route.Target decodeTarget(String text) {
     int space = text.indexOf(' ');
     if (space < 0) {
-      throw new IllegalArgumentException("not a weight and a pool: " + text);
+      throw new IllegalArgumentException("expected a weight and the name of a pool, got: " + text);
     }
     return new Route.Target(
         text.substring(space + 1), Double.parseDouble(text.substring(0, space)));
--- a/src/main/java/flintlead/routing/pool/LayoutTransition.java
+++ b/src/main/java/flintlead/routing/pool/LayoutTransition.java
@@ -4,29 +4,29 @@
 import java.util.List;
 
 /**
- * The gradual transition from one layout to another: functions whose hash lies below the share are
- * routed by the second, the others by the first. A larger share moves more functions over and none
- * back.
+ * A gradual transition from one layout to another: functions whose hash fraction is below the
+ * target share are routed by the target layout, the others by the source layout. A larger share
+ * moves further functions to the target and none back.
  *
- * @param source the layout that is left
- * @param target the layout that is entered
- * @param targetShare of the functions that the second layout routes, from 0 to 1
+ * @param source the layout to move from
+ * @param target the layout to move to
+ * @param targetShare share of the functions that the target layout routes, from 0 to 1
  */
 public record LayoutTransition(Layout source, Layout target, double targetShare) {
 
-  /** A layout alone. */
+  /** Returns a completed transition to a layout. */
   public static LayoutTransition of(Layout layout) {
     return new LayoutTransition(layout, layout, 1);
   }
 
-  /** Whether the second layout routes all functions. */
+  /** Whether the target layout routes all functions. */
   public boolean isComplete() {
     return targetShare >= 1 || source.equals(target);
   }
 
   /**
-   * The pools of both layouts: the second's, then those of the first that the second lacks or
-   * selects other hosts for.
+   * The pools of both layouts: those of the target, then those of the source that the target lacks
+   * or selects other hosts for.
    */
   List<Pool> pools() {
     List<Pool> pools = new ArrayList<>(target.pools());
@@ -36,7 +36,7 @@
     return pools;
   }
 
-  /** The text under which the transition is stored, the second layout first. */
+  /** Returns the text in which the transition is stored, target layout first. */
   public String toText() {
     return isComplete()
         ? target.toText()
--- a/src/main/java/flintlead/routing/pool/LayoutValidator.java
+++ b/src/main/java/flintlead/routing/pool/LayoutValidator.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /**
- * Finds faults in a layout. Each is one sentence that names the pool or route and, after a
- * semicolon, what to do.
+ * Finds faults in a layout. Each fault is one sentence that names the pool or route and, after a
+ * semicolon, how to correct it.
  */
 final class LayoutValidator {
 
@@ -22,7 +22,7 @@
     this.layout = layout;
   }
 
-  /** Faults in the layout itself. */
+  /** Returns the faults that do not depend on the hosts. */
   List<String> faults() {
     checkSizes();
     layout.pools().forEach(this::checkPool);
@@ -120,7 +120,10 @@
     }
   }
 
-  /** Faults that the layout has with these hosts. */
+  /**
+   * Returns the faults of the layout with these hosts: used pools without enough ready hosts, and
+   * patterns that match no host.
+   */
   List<String> faultsWith(Collection<HostDescriptor> hosts) {
     Set<String> used = layout.usedPools();
     for (Pool pool : layout.pools()) {
@@ -159,7 +162,10 @@
     }
   }
 
-  /** Trigger types and customers in routes that are not among the known ones. */
+  /**
+   * Returns a fault for each route with trigger types or customers that are not among the known
+   * ones.
+   */
   List<String> unknownNames(Set<String> knownTriggerTypes, Set<String> knownCustomers) {
     for (int index = 0; index < layout.routes().size(); index++) {
       Route route = layout.routes().get(index);
--- a/src/main/java/flintlead/routing/pool/NamePattern.java
+++ b/src/main/java/flintlead/routing/pool/NamePattern.java
@@ -1,17 +1,17 @@
 package flintlead.routing.pool;
 
 /**
- * Matches one name, or the names with a common prefix and suffix: the text before and after one
+ * Matches one name or, with a wildcard, all names with the prefix before and the suffix after the
  * wildcard.
  */
 public record NamePattern(String text) {
 
-  /** Stands for any text, also for none. */
+  /** Matches any text, including the empty text. */
   public static final char WILDCARD = '*';
 
   /**
-   * @throws IllegalArgumentException when it is empty, has control characters or more than one
-   *     wildcard
+   * @throws IllegalArgumentException if the text is empty, contains control characters or has more
+   *     than one wildcard
    */
   public NamePattern {
     if (text == null || text.isEmpty() || text.chars().anyMatch(Character::isISOControl)) {
@@ -22,7 +22,7 @@
     }
   }
 
-  /** Whether the name matches. */
+  /** Whether the pattern matches the name. */
   public boolean matches(String name) {
     int star = text.indexOf(WILDCARD);
     if (star < 0) {
@@ -34,7 +34,7 @@
         && name.regionMatches(name.length() - suffixLength, text, star + 1, suffixLength);
   }
 
-  /** Whether it matches every name that the other matches. */
+  /** Whether this pattern matches every name that the other one matches. */
   public boolean covers(NamePattern other) {
     int star = text.indexOf(WILDCARD);
     int otherStar = other.text.indexOf(WILDCARD);
--- a/src/main/java/flintlead/routing/pool/PoolAssignment.java
+++ b/src/main/java/flintlead/routing/pool/PoolAssignment.java
@@ -1,12 +1,13 @@
 package flintlead.routing.pool;
 
-/** The assignment of one invocation to a pool, in force until it is released. */
+/** The assignment of one invocation to a pool, until it is released. */
 public final class PoolAssignment {
 
   final PoolState servingPool;
 
   /**
-   * The pool that the invocation is routed to; another than the serving pool where it was spilled.
+   * The pool that the invocation is routed to. Differs from the serving pool if the invocation was
+   * spilled.
    */
   final PoolState homePool;
 
@@ -20,8 +21,8 @@
   }
 
   /**
-   * The id of the serving pool, from 0 to below {@link PoolRouter#MAX_POOL_IDS}; hosts are matched
-   * to it by their pool mask.
+   * The id of the serving pool, from 0 to below {@link PoolRouter#MAX_POOL_IDS}; a host belongs to
+   * the pool if its pool mask has the bit of this id.
    */
   public int poolId() {
     return servingPool.id;
@@ -32,7 +33,7 @@
     return servingPool.definition.name();
   }
 
-  /** Whether the invocation was spilled to the serving pool by another. */
+  /** Whether another pool spilled the invocation to the serving pool. */
   public boolean isSpillover() {
     return servingPool != homePool;
   }
--- a/src/main/java/flintlead/routing/pool/PoolCounters.java
+++ b/src/main/java/flintlead/routing/pool/PoolCounters.java
@@ -1,8 +1,8 @@
 package flintlead.routing.pool;
 
 /**
- * Invocations counted under a pool's name. They outlive a change of the pool's hosts. Not
- * thread-safe.
+ * Invocation counters of the pools with one name. They are kept when the hosts of the pool change.
+ * Not thread-safe.
  */
 final class PoolCounters {
   /** Invocations assigned to the pool. */
--- a/src/main/java/flintlead/routing/pool/PoolRouter.java
+++ b/src/main/java/flintlead/routing/pool/PoolRouter.java
@@ -9,22 +9,24 @@
 import java.util.function.Consumer;
 
 /**
- * Assigns each invocation to a pool: to that of its idempotency key where a repeat is known, else
- * to that of its route, else, while that pool has too few hosts, fails or is full, to one that it
- * spills to and that accepts it.
+ * Assigns each invocation to a pool. While the idempotency key of an earlier invocation is known, a
+ * repeat goes to the same pool. Any other invocation goes to the pool of its route or, while that
+ * pool has too few ready hosts, fails or is full, to a pool that it spills to and that accepts the
+ * invocation.
  *
- * <p>Four things keep the loss of one pool from becoming the loss of the next. Spilled invocations
- * are accepted by function, a share that follows how the accepting pool fares ({@link
- * SpilloverAdmission}). A spilled invocation is not spilled again. A pool that spills accepts none.
- * And what comes back comes a share of the functions at a time ({@link SpilloverController}).
+ * <p>Four rules keep the failure of one pool from spreading to the next. A pool accepts spilled
+ * invocations of a share of the functions only, which depends on how fast its own invocations are
+ * ({@link SpilloverAdmission}). A spilled invocation is not spilled again. A pool that spills
+ * accepts no spilled invocations. A recovering pool takes its functions back a share at a time
+ * ({@link SpilloverController}).
  *
  * <p>Not thread-safe: it is used on the gateway's event loop only.
  */
 public final class PoolRouter {
 
   /**
-   * Pools that may have an id at once, those of older layouts among them: the bits of a host's pool
-   * mask.
+   * Maximum number of pools with an id, including those of older layouts: each has a bit in the
+   * hosts' pool masks.
    */
   public static final int MAX_POOL_IDS = 63;
 
@@ -32,21 +34,21 @@
   public static final long ALL_POOLS = -1L;
 
   /**
-   * A pool may have in flight this multiple of what all pools together leave free, as sources of
-   * invocations may.
+   * Limit of the invocations in flight of one pool as a multiple of the gateway's free capacity;
+   * the admission control limits the sources of invocations in the same way.
    */
   private static final double FREE_SHARE_MULTIPLE = 4;
 
   private static final int RECENT_REQUESTS = 1_024;
   private static final int STICKY_ASSIGNMENTS = 65_536;
 
-  /** How an invocation ended, as far as it tells of its pool. */
+  /** The result of an invocation as far as it is evidence of its pool's state. */
   public enum InvocationResult {
     /** It succeeded within its latency objective. */
     SUCCEEDED,
     /** It was throttled, failed, or was late. */
     FAILED,
-    /** Its client disconnected, or the gateway stops, which tells nothing. */
+    /** Its client disconnected, or the gateway is stopping: no evidence of the pool's state. */
     UNKNOWN
   }
 
@@ -64,8 +66,8 @@
    * Creates a router with one pool of all hosts.
    *
    * @param capacity invocations that the gateway may have in flight
-   * @param random decides splits by invocation, and trials of a pool that fails
-   * @param log receives a line with the reason whenever a pool begins or ends to spill
+   * @param random selects targets in splits by invocation, and trial invocations of a failing pool
+   * @param log receives a message with the reason whenever a pool starts or stops spilling
    */
   public PoolRouter(int capacity, Random random, Moment now, Consumer<String> log) {
     this.capacity = capacity;
@@ -80,9 +82,9 @@
   // ---- assignment ----
 
   /**
-   * Assigns an invocation to a pool, until {@link #release}.
+   * Assigns an invocation to a pool until {@link #release}.
    *
-   * @return null where no pool accepts it: nothing of it has been sent, so that it may be throttled
+   * @return null if no pool accepts it; it has not been sent to any host, so it may be throttled
    */
   public PoolAssignment assign(RouteRequest request, Moment now) {
     PoolState stuckTo =
@@ -146,8 +148,8 @@
   }
 
   /**
-   * Ends an assignment: the invocation has its final response, or its client has disconnected. Has
-   * no effect a second time.
+   * Ends the assignment of an invocation that has its final response or whose client has
+   * disconnected. A second call for the same assignment has no effect.
    *
    * @param relativeLatency the time that it took, as a share of its latency objective
    */
@@ -188,9 +190,9 @@
   // ---- layouts and hosts ----
 
   /**
-   * Routes invocations by these layouts from now on. Those in flight keep their pool.
+   * Routes new invocations by these layouts from now on. Invocations in flight keep their pool.
    *
-   * @return why it was refused, with nothing changed; empty where it is done
+   * @return the reason for a refusal, in which case nothing has changed; empty on success
    */
   public List<String> applyTransition(LayoutTransition next, Moment now) {
     List<String> refusal = table.list(next.pools(), now).stream().toList();
@@ -209,7 +211,8 @@
   }
 
   /**
-   * The pools that a host belongs to: a bit for each id, or {@link #ALL_POOLS} without any layout.
+   * Returns the pools that a host belongs to, as a mask with a bit for each pool id; {@link
+   * #ALL_POOLS} while only the default layout is used.
    */
   public long poolMask(String host, int zone, int kind) {
     if (routes.transition().target() == Layout.DEFAULT && table.size() == 1) {
@@ -224,7 +227,7 @@
     return mask;
   }
 
-  /** Whether the pools that hosts belong to may have changed since the last call. */
+  /** Returns whether the pools that hosts belong to may have changed since the last call. */
   public boolean pollMembershipChanged() {
     boolean changed = membershipChanged;
     membershipChanged = false;
@@ -244,20 +247,21 @@
   }
 
   /**
-   * Idempotency keys evicted while a repeat could still come, which could then go to another pool.
+   * Number of idempotency keys evicted while still valid; a repeat of their invocation may go to
+   * another pool.
    */
   public long evictedStickyKeys() {
     return sticky.evicted();
   }
 
-  /** The requests that came last, the newest first, at most so many. */
+  /** Returns the most recent requests, newest first, at most {@code limit}. */
   public List<RouteRequest> recentRequests(int limit) {
     return requests.newest(limit);
   }
 
   /**
-   * The state of each pool, by id: of the layouts in force, and of older ones with invocations in
-   * flight.
+   * Returns the states of the pools in the layouts in force, and of older pools with invocations in
+   * flight, ordered by id.
    */
   public List<PoolSnapshot> snapshots() {
     return table.states().stream()
@@ -267,8 +271,8 @@
   }
 
   /**
-   * Share of the requests that the second layout routes to other hosts than the first: each is a
-   * load of a function.
+   * Share of the requests that the second layout routes to other hosts than the first; their
+   * functions have to be loaded there.
    */
   public static double movedShare(Layout first, Layout second, Collection<RouteRequest> requests) {
     return RouteSelector.movedShare(first, second, requests);
--- a/src/main/java/flintlead/routing/pool/PoolSnapshot.java
+++ b/src/main/java/flintlead/routing/pool/PoolSnapshot.java
@@ -4,22 +4,22 @@
 import java.util.Map;
 
 /**
- * The state of a pool at one moment.
+ * The state of a pool at one point in time.
  *
  * @param name the pool's name
  * @param number the pool's id
- * @param listed whether a layout in force has it; if not, it only completes what was assigned
- *     before
+ * @param listed whether a layout in force contains it; if not, it only completes the invocations
+ *     that were assigned to it before
  * @param up whether it has enough ready hosts
  * @param ready number of its ready hosts
  * @param inHand invocations in flight
- * @param guests of those, the ones that other pools spilled
- * @param away share of its functions that other pools serve where they accept them
- * @param guestShare share of the functions of other pools that it accepts
+ * @param guests invocations in flight that other pools spilled to it
+ * @param away share of its own functions that it offers to other pools
+ * @param guestShare share of other pools' functions that it accepts when they are spilled
  * @param taken invocations assigned to it so far
  * @param succeeded of those, the ones that succeeded within their latency objective
  * @param failed of those, the ones that were throttled, failed, or were late
- * @param came of those, the ones that other pools spilled
+ * @param came invocations assigned to it that other pools spilled
  * @param went own invocations that were spilled to other pools
  * @param turnedAway own invocations that no pool accepted
  */
@@ -40,9 +40,7 @@
     long went,
     long turnedAway) {
 
-  /**
-   * The snapshot as it is sent to operators: names that must not change, in an order that must not.
-   */
+  /** Returns the fields as they are sent to operators. Their names and order must not change. */
   public Map<String, Object> toFields() {
     Map<String, Object> fields = new LinkedHashMap<>();
     fields.put("name", name);
--- a/src/main/java/flintlead/routing/pool/PoolState.java
+++ b/src/main/java/flintlead/routing/pool/PoolState.java
@@ -3,26 +3,29 @@
 import flintlead.time.Moment;
 
 /**
- * What a gateway knows of one pool: from when a layout brings it until no layout has it and its
- * last invocation is complete. A pool whose hosts are selected differently has a state of its own,
- * even under the same name. Not thread-safe.
+ * The state of one pool in a gateway. It is added with the first layout that contains the pool and
+ * removed when no layout in force contains the pool and its last invocation is complete. A pool
+ * that selects other hosts has its own state, even if it has the same name. Not thread-safe.
  */
 final class PoolState {
 
-  /** Identifies the pool among all that have a state; free again when the state goes. */
+  /** Identifies the pool among all that have a state; may be reused after the state is removed. */
   final int id;
 
   final PoolCounters counters;
   final EvaluationWindow window;
   final SpilloverAdmission admission = new SpilloverAdmission();
 
-  /** The definition in force; limits may change, name and selector don't. */
+  /** The definition in force. Its limits may change, its name and selector don't. */
   Pool definition;
 
-  /** Whether a layout in force has the pool; if not, it only completes what was assigned before. */
+  /**
+   * Whether a layout in force contains the pool; if not, it only completes the invocations that
+   * were assigned to it before.
+   */
   boolean listed = true;
 
-  /** Invocations in flight, those spilled in among them. */
+  /** Invocations in flight, including those spilled in from other pools. */
   int inFlight;
 
   int spilloverInFlight;
@@ -31,12 +34,13 @@
   /** Whether it had enough ready hosts at the last update. */
   boolean available = true;
 
-  /** Whether it ever had enough ready hosts: a new pool has no functions to take back gradually. */
-  boolean wasAvailable;
-
   /**
-   * Share of the pool's own functions that other pools serve where they accept them, from 0 to 1.
+   * Whether it ever had enough ready hosts. A pool that has them for the first time is new, so it
+   * has no functions to take back gradually.
    */
+  boolean wasAvailable;
+
+  /** Share of the pool's own functions that are offered to other pools, from 0 to 1. */
   double spillShare;
 
   PoolState(int id, Pool pool, Moment now, PoolCounters counters) {
@@ -46,17 +50,22 @@
     this.counters = counters;
   }
 
-  /** The pool's bit in the masks that say which pools a host belongs to. */
+  /** The pool's bit in the hosts' pool masks. */
   long mask() {
     return 1L << id;
   }
 
-  /** Whether this is the state of that pool: of its name and with its hosts. */
+  /**
+   * Whether this is the state of the given pool, that is, of one with the same name and selector.
+   */
   boolean isOf(Pool other) {
     return definition.name().equals(other.name()) && definition.selector().equals(other.selector());
   }
 
-  /** Whether nothing refers to it any more. */
+  /**
+   * Whether the state may be removed: no layout in force contains the pool, and it has no
+   * invocations in flight.
+   */
   boolean isRetired() {
     return !listed && inFlight == 0;
   }
--- a/src/main/java/flintlead/routing/pool/PoolTable.java
+++ b/src/main/java/flintlead/routing/pool/PoolTable.java
@@ -15,7 +15,10 @@
  */
 final class PoolTable {
 
-  /** Names that are counted under; beyond it, counters of pools that are gone are dropped. */
+  /**
+   * Number of pool names with counters; when it is reached, the counters of removed pools are
+   * dropped.
+   */
   private static final int MAX_COUNTED_NAMES = 256;
 
   private final int capacity;
@@ -25,14 +28,14 @@
 
   /**
    * @param capacity pools that may have a state at once
-   * @param retired called with each state that is removed, before its id is free
+   * @param retired called with each removed state, before its id is used again
    */
   PoolTable(int capacity, Consumer<PoolState> retired) {
     this.capacity = capacity;
     this.retired = retired;
   }
 
-  /** All states, in the order in which they came. */
+  /** All states, in the order in which they were added. */
   List<PoolState> states() {
     return Collections.unmodifiableList(states);
   }
@@ -42,7 +45,9 @@
   }
 
   /**
-   * @throws IllegalStateException when no layout in force has the pool
+   * Returns the state of a pool of the layouts in force.
+   *
+   * @throws IllegalStateException if no layout in force contains the pool
    */
   PoolState listed(Pool pool) {
     for (PoolState state : states) {
@@ -50,15 +55,15 @@
         return state;
       }
     }
-    throw new IllegalStateException("no state of pool " + pool.name());
+    throw new IllegalStateException("no layout in force contains pool " + pool.name());
   }
 
   /**
-   * Makes these the pools of the layouts in force. Pools that had a state keep it; one that is
-   * listed no more stays until its last invocation is complete.
+   * Replaces the pools of the layouts in force. Pools that have a state keep it; the state of a
+   * pool that is no longer listed stays until its last invocation is complete.
    *
-   * @param pools no two of them with the same name and hosts
-   * @return the reason why it was refused, with nothing changed; empty where it is done
+   * @param pools the pools, no two of them with the same name and hosts
+   * @return the reason for a refusal, in which case nothing has changed; empty on success
    */
   Optional<String> list(List<Pool> pools, Moment now) {
     List<PoolState> kept = new ArrayList<>();
@@ -79,7 +84,7 @@
     states.forEach(state -> state.listed = kept.contains(state));
     retireAll();
     added.forEach(pool -> add(pool, now));
-    // Limits may differ where hosts do not.
+    // The limits of a pool may have changed although its hosts have not.
     pools.forEach(pool -> listed(pool).definition = pool);
     return Optional.empty();
   }
@@ -88,7 +93,7 @@
     return states.stream().filter(state -> state.isOf(pool)).findFirst();
   }
 
-  /** Adds the state of a pool that has none. */
+  /** Adds a state for a pool that has none. */
   void add(Pool pool, Moment now) {
     if (countersByName.size() >= MAX_COUNTED_NAMES) {
       countersByName
@@ -112,7 +117,7 @@
     return states.stream().anyMatch(state -> state.id == id);
   }
 
-  /** Removes the state where nothing refers to it any more; whether it did. */
+  /** Removes the state if nothing refers to it any more. Returns whether it was removed. */
   boolean removeIfRetired(PoolState state) {
     if (!state.isRetired()) {
       return false;
--- a/src/main/java/flintlead/routing/pool/RecentRequests.java
+++ b/src/main/java/flintlead/routing/pool/RecentRequests.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /**
- * Ring buffer of the requests that came last, from which the effect of a change of routes is
+ * Ring buffer of the most recent requests, from which the effect of a change of routes is
  * estimated. Not thread-safe.
  */
 final class RecentRequests {
@@ -13,7 +13,7 @@
   private long added;
 
   /**
-   * @param capacity number of requests that are kept
+   * @param capacity maximum number of requests kept
    */
   RecentRequests(int capacity) {
     this.requests = new RouteRequest[capacity];
@@ -24,7 +24,7 @@
     added++;
   }
 
-  /** Returns the requests that came last, the newest first, at most so many. */
+  /** Returns the most recent requests, newest first, at most {@code limit}. */
   List<RouteRequest> newest(int limit) {
     List<RouteRequest> newest = new ArrayList<>();
     long oldest = Math.max(0, added - Math.min(limit, requests.length));
--- a/src/main/java/flintlead/routing/pool/Route.java
+++ b/src/main/java/flintlead/routing/pool/Route.java
@@ -6,15 +6,15 @@
 import java.util.regex.Matcher;
 
 /**
- * Leads the invocations that match all of its criteria to a pool, or splits them over several. An
- * empty list of a criterion matches everything.
+ * Sends the invocations that match all of its criteria to a pool, or splits them over several
+ * pools. A criterion with an empty list matches every invocation.
  *
  * @param functions patterns of function names
  * @param triggerTypes names of trigger types
  * @param customers names of customers
  * @param conditions conditions on the pools, all of which must hold
- * @param targets the pools that it leads to, with their weights
- * @param splitKey what decides between several
+ * @param targets the pools that invocations are sent to, with their weights
+ * @param splitKey what selects one of several targets
  */
 public record Route(
     List<NamePattern> functions,
@@ -25,7 +25,7 @@
     SplitKey splitKey) {
 
   /**
-   * A pool that a route leads to.
+   * A pool that a route sends invocations to.
    *
    * @param weight the pool's weight: its share is the weight over the sum of the route's weights
    */
@@ -34,7 +34,8 @@
   /**
    * A condition on the number of ready hosts of a pool.
    *
-   * @param below whether the pool must have fewer ready hosts than that, or at least as many
+   * @param below true if the pool must have fewer than {@code readyHosts}, false if at least as
+   *     many
    */
   public record Condition(String pool, boolean below, int readyHosts) {
 
@@ -47,9 +48,9 @@
     }
 
     /**
-     * Reads a condition.
+     * Parses a condition.
      *
-     * @throws IllegalArgumentException when it is no condition, with an example of one
+     * @throws IllegalArgumentException if the text is not a condition; the message gives an example
      */
     public static Condition parse(String text) {
       Matcher matcher = SYNTAX.matcher(text);
@@ -63,17 +64,20 @@
   }
 
   /**
-   * What decides to which target of a split an invocation goes. The names are stored and written in
-   * configurations.
+   * What selects the target of an invocation in a split. The names are stored and used in
+   * configuration files.
    */
   public enum SplitKey {
-    /** The function, so that its instances are in one pool only; the same at every gateway. */
+    /**
+     * The function, so that its instances are in one pool only. Every gateway selects the same
+     * target.
+     */
     FUNCTION,
     /** The customer. */
     CUSTOMER,
     /**
-     * A random draw; the idempotency key where there is one, so that a repeat goes to the same
-     * pool.
+     * The idempotency key, so that a repeat goes to the same pool; a random number for an
+     * invocation without a key.
      */
     INVOCATION
   }
@@ -86,7 +90,7 @@
     targets = List.copyOf(targets);
   }
 
-  /** The route that leads everything to one pool. */
+  /** Returns a route that sends every invocation to one pool. */
   public static Route catchAll(String pool) {
     return new Route(
         List.of(),
@@ -97,7 +101,7 @@
         SplitKey.FUNCTION);
   }
 
-  /** The criteria and targets as one line for operators. */
+  /** Describes the criteria and targets in one line for operators. */
   public String describe() {
     List<String> criteria = new ArrayList<>();
     functions.forEach(pattern -> criteria.add(pattern.text()));
@@ -116,7 +120,7 @@
     return String.join(", ", weighted) + " by " + splitKey.name().toLowerCase(Locale.ROOT);
   }
 
-  /** Whether it matches every invocation at any time. */
+  /** Whether the route matches every invocation, without any condition. */
   public boolean matchesAll() {
     return functions.isEmpty()
         && triggerTypes.isEmpty()
@@ -124,7 +128,7 @@
         && conditions.isEmpty();
   }
 
-  /** Whether the request meets the criteria; the conditions are left out. */
+  /** Whether the request meets the criteria. Conditions on pools are not checked. */
   boolean matches(RouteRequest request) {
     return (functions.isEmpty()
             || functions.stream().anyMatch(pattern -> pattern.matches(request.function())))
@@ -134,8 +138,8 @@
   }
 
   /**
-   * Whether it matches every invocation that the other matches, so that a later one is never
-   * reached.
+   * Whether this route matches every invocation that the other one matches, so that the other is
+   * unreachable if it comes later in the list.
    */
   boolean covers(Route other) {
     return conditions.isEmpty()
@@ -152,7 +156,7 @@
         && others.stream().allMatch(other -> functions.stream().anyMatch(own -> own.covers(other)));
   }
 
-  /** Whether one list of names, where empty stands for all, contains another. */
+  /** Whether a list of names contains all of another; an empty list stands for all names. */
   private static boolean containsAll(List<String> names, List<String> others) {
     return names.isEmpty() || !others.isEmpty() && names.containsAll(others);
   }
--- a/src/main/java/flintlead/routing/pool/RouteRequest.java
+++ b/src/main/java/flintlead/routing/pool/RouteRequest.java
@@ -3,13 +3,13 @@
 import flintlead.time.Span;
 
 /**
- * What the route of an invocation depends on.
+ * The properties of an invocation that determine its pool.
  *
  * @param function name of the function
  * @param triggerType name of the trigger type
- * @param customer null where the client names none
+ * @param customer name of the customer; null if the client gives none
  * @param idempotencyKey the client's idempotency key; null for an invocation without one
- * @param deduplicationWindow how long hosts know the key after the last dispatch
+ * @param deduplicationWindow how long hosts remember the key after the last dispatch
  */
 public record RouteRequest(
     String function,
--- a/src/main/java/flintlead/routing/pool/RouteSelector.java
+++ b/src/main/java/flintlead/routing/pool/RouteSelector.java
@@ -6,8 +6,9 @@
 import java.util.function.ToIntFunction;
 
 /**
- * Finds the pool that an invocation is routed to under the layouts in force: by the first route
- * that matches it, and there by the split. Not thread-safe, as the random source isn't.
+ * Selects the pool that an invocation is routed to under the layouts in force: by the first route
+ * that matches it, and among the targets of that route by its split key. Not thread-safe, as the
+ * random source isn't.
  */
 final class RouteSelector {
 
@@ -15,13 +16,13 @@
   private final ToIntFunction<Pool> readyHosts;
   private LayoutTransition transition;
 
-  /** Kept, as it takes a comparison of two layouts. */
+  /** Cached, as computing it compares two layouts. */
   private boolean complete;
 
   /**
-   * @param random decides splits by invocation
-   * @param readyHosts number of ready hosts of a pool of the layouts in force, for routes with
-   *     conditions
+   * @param random selects targets in splits by invocation
+   * @param readyHosts returns the number of ready hosts of a pool of the layouts in force, for
+   *     routes with conditions
    */
   RouteSelector(LayoutTransition transition, Random random, ToIntFunction<Pool> readyHosts) {
     this.random = random;
@@ -38,15 +39,15 @@
     this.complete = transition.isComplete();
   }
 
-  /** The pool that the request is routed to. */
+  /** Returns the pool that the request is routed to. */
   Pool select(RouteRequest request) {
     Layout layout = isRoutedByTarget(request) ? transition.target() : transition.source();
     Route route = firstMatching(layout, request);
     if (layout == transition.target()) {
       return layout.pool(chooseTarget(route, request));
     }
-    // A split by invocation is drawn twice here, and the first draw decides which layout's
-    // definition of the second's pool counts.
+    // In a split by invocation these two calls draw independently: the layout whose definition
+    // applies is selected by the first draw, the name of the pool by the second.
     boolean unchanged = isUnchanged(chooseTarget(route, request));
     String name = chooseTarget(route, request);
     return unchanged ? definition(name) : layout.pool(name);
@@ -70,7 +71,10 @@
         == condition.below();
   }
 
-  /** The pool of that name: the target layout's definition where it has one, else the source's. */
+  /**
+   * Returns the pool of that name as the target layout defines it, or as the source layout does if
+   * the target has none.
+   */
   Pool definition(String name) {
     Pool pool = transition.target().pool(name);
     return pool != null ? pool : transition.source().pool(name);
@@ -82,7 +86,7 @@
     return target != null && target.selector().equals(transition.source().pool(name).selector());
   }
 
-  /** The name of the pool that the route leads the request to. */
+  /** Returns the name of the pool that the route sends the request to. */
   private String chooseTarget(Route route, RouteRequest request) {
     List<Route.Target> targets = route.targets();
     if (targets.size() == 1) {
@@ -115,8 +119,8 @@
   }
 
   /**
-   * Share of the requests that the second layout routes to other hosts than the first; no host
-   * counts as ready.
+   * Share of the requests that the second layout routes to other hosts than the first. Conditions
+   * are evaluated as if no host were ready.
    */
   static double movedShare(Layout first, Layout second, Collection<RouteRequest> requests) {
     if (requests.isEmpty()) {
--- a/src/main/java/flintlead/routing/pool/Selector.java
+++ b/src/main/java/flintlead/routing/pool/Selector.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * Selects the hosts of a pool: those whose name, zone and kind are all among the given. An empty
- * list selects everything.
+ * Selects the hosts of a pool by name, zone and kind, all of which must match. An empty list
+ * matches every host.
  *
  * @param hosts patterns of host names
  * @param zones numbers of zones
--- a/src/main/java/flintlead/routing/pool/SpilloverAdmission.java
+++ b/src/main/java/flintlead/routing/pool/SpilloverAdmission.java
@@ -4,11 +4,11 @@
 import flintlead.time.Span;
 
 /**
- * How much a pool accepts of what other pools spill: a share of the functions, which grows while
- * the pool's own responses are fast and shrinks when they are slow (additive increase,
- * multiplicative decrease: Chiu and Jain 1989). The share is by function, not by invocation: with a
- * few invocations of every function, all functions would have to be loaded and none would be
- * served. Not thread-safe.
+ * Decides which spilled invocations of other pools a pool accepts: those of a share of the
+ * functions, which grows while the pool's own responses are fast and shrinks when they are slow
+ * (additive increase, multiplicative decrease: Chiu and Jain 1989). It is a share of the functions,
+ * not of the invocations: with a few invocations of every function, all functions would have to be
+ * loaded and none would be served. Not thread-safe.
  */
 final class SpilloverAdmission {
 
@@ -18,16 +18,15 @@
   private static final double MULTIPLICATIVE_DECREASE = 0.67;
   private static final double FAST_GROWTH = 2;
 
-  /**
-   * Mean relative latency of the pool's own invocations above which it is slow, and below which it
-   * is fast.
-   */
+  /** The pool is slow above this mean relative latency of its own invocations. */
   private static final double SLOW_ABOVE = 0.2;
 
+  /** The pool is fast below this mean relative latency of its own invocations. */
   private static final double FAST_BELOW = 0.1;
 
   /**
-   * Nothing is accepted while more is in flight than this multiple of the baseline and a few more.
+   * Invocations are accepted only while fewer are in flight in the pool than this multiple of the
+   * baseline plus {@link #BASELINE_ALLOWANCE}.
    */
   private static final double MAX_BASELINE_MULTIPLE = 1.5;
 
@@ -37,20 +36,20 @@
   private static final double BASELINE_WEIGHT = 0.2;
 
   /**
-   * The share grows only so long after an invocation was last rejected, as only then more is
-   * wanted.
+   * The share grows only within this time after an invocation was rejected, as otherwise there is
+   * no demand for a larger share.
    */
   private static final Span GROWTH_PERIOD = Span.ofMillis(1_000);
 
-  /** Without an offer for this long the share starts anew. */
+  /** After this long without an offer the share is reset to its initial value. */
   private static final Span RESTART_AFTER = Span.ofMillis(10_000);
 
   private double share = INITIAL_SHARE;
 
-  /** Invocations in flight while the pool is fast: an exponentially weighted mean. */
+  /** Exponentially weighted mean of the invocations in flight while the pool is fast. */
   private double baselineInFlight;
 
-  /** Whether the share doubles: until it has been too large once. */
+  /** Whether the share doubles when it grows; false once it has been too large. */
   private boolean growsFast = true;
 
   private Moment lastOffer = new Moment(0);
@@ -97,7 +96,8 @@
       share = Math.max(MIN_SHARE, share * MULTIPLICATIVE_DECREASE);
       growsFast = false;
     } else if (meanRelativeLatency < FAST_BELOW && isMoreWanted(now)) {
-      // It doubles at first: a pool that is lost should be served elsewhere within a second or two.
+      // Doubles at first: the functions of a failed pool should be served by others within a second
+      // or two.
       share = Math.min(1, growsFast ? FAST_GROWTH * share : share + ADDITIVE_INCREASE);
     }
   }
--- a/src/main/java/flintlead/routing/pool/SpilloverController.java
+++ b/src/main/java/flintlead/routing/pool/SpilloverController.java
@@ -8,25 +8,30 @@
 import java.util.function.Consumer;
 
 /**
- * Which of its own functions a pool spills to others: all while it has too few ready hosts, a
- * growing share while nearly all of its responses are failures. What comes back comes a share of
- * the functions at a time, as the pool's hosts have to load them. Not thread-safe.
+ * Decides which of its own functions a pool spills to other pools: all while it has too few ready
+ * hosts, a growing share while nearly all of its responses are failures. A recovering pool takes
+ * its functions back a share at a time, because its hosts have to load them first. Not thread-safe.
  */
 final class SpilloverController {
 
-  /** Above this failure rate more is spilled, below the other some comes back. */
+  /** Above this failure rate the spilled share grows. */
   private static final double FAILURE_RATE_HIGH = 0.9;
 
+  /** Below this failure rate the spilled share shrinks. */
   private static final double FAILURE_RATE_LOW = 0.08;
 
-  /** Change of the spilled share with each evaluation, and with each interval of one. */
+  /** Growth of the spilled share with each evaluation. */
   private static final double SPILL_INCREASE = 0.1;
 
+  /**
+   * Decrease of the spilled share for each {@link EvaluationWindow#INTERVAL} since the last
+   * evaluation.
+   */
   private static final double SPILL_DECREASE = 0.02;
 
   /**
-   * An available pool that fails still gets this share of what it spills, by which its recovery is
-   * noticed.
+   * Share of the invocations to be spilled that an available pool still serves itself, so that its
+   * recovery is noticed.
    */
   private static final double TRIAL_SHARE = 0.1;
 
@@ -34,14 +39,17 @@
   private final Consumer<String> log;
 
   /**
-   * @param log receives a line with the reason whenever a pool begins or ends to spill
+   * @param log receives a message with the reason whenever a pool starts or stops spilling
    */
   SpilloverController(Random random, Consumer<String> log) {
     this.random = random;
     this.log = log;
   }
 
-  /** Whether an invocation that is routed to the pool is to be offered to others. */
+  /**
+   * Whether an invocation of the function that is routed to the pool should be offered to other
+   * pools.
+   */
   boolean shouldSpill(PoolState pool, String function) {
     if (pool.spillShare <= 0 || HashFraction.SPILL.of(function) >= pool.spillShare) {
       return false;
@@ -50,8 +58,8 @@
   }
 
   /**
-   * Evaluates the responses since the last evaluation, where there are enough of them and enough
-   * time has passed.
+   * Adjusts the spilled share to the responses since the last evaluation, if enough time has passed
+   * and there are enough responses.
    */
   void evaluate(PoolState pool, Moment now) {
     EvaluationWindow window = pool.window;
@@ -81,7 +89,10 @@
     return pool.spillShare;
   }
 
-  /** Takes over how many ready hosts a pool has. */
+  /**
+   * Updates the number of ready hosts of a pool. A pool that no longer has enough of them spills
+   * everything.
+   */
   void updateHosts(PoolState pool, Collection<HostDescriptor> hosts) {
     pool.readyHosts = (int) Layout.countReadyHosts(pool.definition, hosts);
     boolean available = pool.readyHosts >= pool.definition.minReadyHosts();
@@ -90,7 +101,7 @@
       pool.spillShare = 1;
       pool.available = false;
       if (pool.wasAvailable) {
-        // Before the first host list no pool has hosts, which is nothing to report.
+        // Before the first host list no pool has hosts; that is not worth a report.
         logChange(pool, before, Double.NaN);
       }
     }
@@ -114,9 +125,9 @@
                   + " ready hosts, at least "
                   + pool.definition.minReadyHosts()
                   + " required";
-      log.accept("pool " + name + " spills over: " + reason);
+      log.accept("pool " + name + " starts spilling to other pools: " + reason);
     } else if (before > 0 && pool.spillShare <= 0) {
-      log.accept("pool " + name + " spills over no more: it serves all of its functions again");
+      log.accept("pool " + name + " stops spilling: it serves all of its functions again");
     }
   }
 }
--- a/src/main/java/flintlead/routing/pool/StickyAssignments.java
+++ b/src/main/java/flintlead/routing/pool/StickyAssignments.java
@@ -6,23 +6,23 @@
 import java.util.Map;
 
 /**
- * To which pool invocations with an idempotency key were assigned. Hosts of one pool don't know the
- * keys of another's: a repeat that comes while the first is in flight, or while hosts still know
- * its key, must go to the same pool, whatever the routes say by then. Bounded: the oldest
- * assignment is evicted first; one that was still valid is counted, as a repeat could then take
- * effect in two pools. Not thread-safe.
+ * The pools that invocations with an idempotency key were assigned to. Hosts of one pool don't know
+ * the keys of another pool's hosts: a repeat that arrives while the first invocation is in flight,
+ * or while hosts still remember its key, must go to the same pool, even if the routes have changed.
+ * Bounded: the oldest assignment is evicted first. Evictions of valid assignments are counted, as a
+ * repeat could then take effect in two pools. Not thread-safe.
  */
 final class StickyAssignments {
 
   /**
-   * Expired assignments that are removed with each new one: more than are added, so that they don't
-   * pile up.
+   * Maximum number of old assignments that are removed with each new one: more than one, so that
+   * expired assignments don't accumulate.
    */
   private static final int EVICTION_STEPS = 2;
 
   /**
-   * The pool of a key, how many invocations with it are in flight there, and until when hosts know
-   * it after the last of them.
+   * The pool of a key, the number of invocations with the key in flight there, and the time until
+   * which hosts remember the key after the last of them.
    */
   private static final class Assignment {
     final PoolState pool;
@@ -40,7 +40,7 @@
 
   private final int capacity;
 
-  /** By key, in the order of the last invocation, which is nearly that of expiry. */
+  /** By key, in order of the last invocation, which is nearly the order of expiry. */
   private final Map<String, Assignment> assignments = new LinkedHashMap<>();
 
   private long evicted;
@@ -49,13 +49,13 @@
     this.capacity = capacity;
   }
 
-  /** The pool that a repeat must go to; null where it may go anywhere. */
+  /** Returns the pool that a repeat must go to; null if it may go to any pool. */
   PoolState find(String key, Moment now) {
     Assignment assignment = assignments.get(key);
     return assignment == null || !assignment.isValid(now) ? null : assignment.pool;
   }
 
-  /** An invocation with that key was assigned to the pool. */
+  /** Records that an invocation with this key was assigned to the pool. */
   void assigned(String key, PoolState pool, Moment now) {
     Assignment assignment = assignments.remove(key);
     if (assignment == null || !assignment.isValid(now)) {
@@ -78,7 +78,10 @@
     }
   }
 
-  /** An invocation with that key is complete; the pool's hosts know the key until then. */
+  /**
+   * Records that an invocation with this key is complete. The pool's hosts remember the key until
+   * {@code knownUntil}.
+   */
   void completed(String key, PoolState pool, Moment knownUntil) {
     Assignment assignment = assignments.get(key);
     if (assignment != null && assignment.pool == pool) {
@@ -88,8 +91,8 @@
   }
 
   /**
-   * Removes all assignments to a pool whose state goes: it has no hosts any more, and its id may
-   * come to mean another.
+   * Removes all assignments to a pool whose state is removed: it has no hosts any more, and its id
+   * may be reused for another pool.
    */
   void removePool(PoolState pool) {
     assignments.values().removeIf(assignment -> assignment.pool == pool);
@@ -99,7 +102,7 @@
     return assignments.size();
   }
 
-  /** Valid assignments that were evicted for lack of room. */
+  /** Number of assignments evicted for lack of capacity while still valid. */
   long evicted() {
     return evicted;
   }
--- a/src/test/java/flintlead/routing/pool/LayoutTest.java
+++ b/src/test/java/flintlead/routing/pool/LayoutTest.java
@@ -21,7 +21,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Each fault of a layout is named once, with what to do; a layout is decoded as it was encoded. */
+/**
+ * Each fault of a layout is reported once, with how to correct it; encoding and decoding a layout
+ * preserves it.
+ */
 class LayoutTest {
 
   private static final Pool A = Pool.of("a", Selector.ALL);
@@ -47,7 +50,7 @@
     List<String> faults = new Layout(pools, List.of(routes)).validate();
     assertEquals(1, faults.size(), faults.toString());
     assertTrue(faults.get(0).contains(words), faults.get(0));
-    assertTrue(faults.get(0).contains("; "), "says what to do: " + faults.get(0));
+    assertTrue(faults.get(0).contains("; "), "must state how to correct it: " + faults.get(0));
   }
 
   @Test
@@ -124,13 +127,16 @@
             new Layout.HostDescriptor("saw-2", 1, 0, false),
             new Layout.HostDescriptor("saw-3", 0, 0, true));
     Layout layout = new Layout(List.of(A, B), List.of(route("x", "b"), Route.catchAll("a")));
-    assertEquals(1, Layout.countReadyHosts(B, hosts), "in its zone, and ready");
+    assertEquals(
+        1,
+        Layout.countReadyHosts(B, hosts),
+        "only hosts that are ready and in the pool's zone count");
     assertTrue(layout.validate(hosts).get(0).contains("has 1 ready hosts and is not used below 2"));
     assertTrue(layout.validate(hosts.subList(1, 3)).get(0).contains("no ready host"));
     assertEquals(
         List.of(),
         new Layout(List.of(A, B), List.of(Route.catchAll("a"))).validate(hosts),
-        "one that nothing leads to may lack hosts");
+        "a pool that no route uses may lack hosts");
     assertTrue(layout.validateNames(java.util.Set.of(), java.util.Set.of()).isEmpty());
     assertTrue(
         new Layout(
@@ -191,7 +197,7 @@
         .map(NamePattern::new);
   }
 
-  /** A route that is called unreachable must be so. */
+  /** A route that is reported as unreachable must be unreachable. */
   @Property(seed = "4824")
   void aCoveredPatternMatchesNothingMore(
       @ForAll("patterns") NamePattern one,
--- a/src/test/java/flintlead/routing/pool/PoolRouterFixture.java
+++ b/src/test/java/flintlead/routing/pool/PoolRouterFixture.java
@@ -88,7 +88,12 @@
     return pool;
   }
 
-  /** Invocations of many functions, which end so. @return how many were assigned to each pool */
+  /**
+   * Assigns one invocation of each of 40 functions and releases them 50 ms later, with a result
+   * that depends on the pool.
+   *
+   * @return number of invocations assigned to each pool
+   */
   Map<String, Integer> round(String ofPool, InvocationResult endA, InvocationResult endB) {
     Map<String, Integer> went = new HashMap<>();
     List<PoolAssignment> assignments = new ArrayList<>();
--- a/src/test/java/flintlead/routing/pool/PoolRouterInvariantsTest.java
+++ b/src/test/java/flintlead/routing/pool/PoolRouterInvariantsTest.java
@@ -18,17 +18,17 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** What must be true of the router in any history. */
+/** Invariants of the router after any sequence of events. */
 class PoolRouterInvariantsTest extends PoolRouterFixture {
 
-  /** One history: the router, and what must be true of it. */
+  /** A random sequence of events on one router, with the checks of its invariants. */
   private static final class History {
     private final Random random;
     private final PoolRouter router;
     private Moment now = new Moment(1_000_000);
     private final List<PoolAssignment> inFlight = new ArrayList<>();
 
-    /** The hosts that each invocation may use, as it was when it was assigned. */
+    /** The selector of the hosts that each invocation may use, as of its assignment. */
     private final Map<PoolAssignment, Selector> hostsAtAssignment = new HashMap<>();
 
     History(long seed) {
@@ -69,12 +69,13 @@
       }
       assertTrue(
           poolOfFirst.isEmpty() || poolOfFirst.get() == assignment.poolId(),
-          "a repeat of one in flight went elsewhere");
+          "a repeat of an invocation in flight was assigned to another pool");
       PoolSnapshot pool = before.get(assignment.poolId());
-      assertFalse(assignment.isSpillover() && !pool.up(), "spilled to a pool without hosts");
+      assertFalse(
+          assignment.isSpillover() && !pool.up(), "spilled to a pool without enough ready hosts");
       assertTrue(
           pool == null || pool.inHand() < assignment.servingPool.definition.maxInFlight(),
-          "more than its most");
+          "more invocations in flight than maxInFlight");
       inFlight.add(assignment);
       hostsAtAssignment.put(assignment, assignment.servingPool.definition.selector());
     }
@@ -101,7 +102,7 @@
         assertTrue(pool.guests() >= 0 && pool.guests() <= pool.inHand());
         assertTrue(
             pool.listed() || pool.inHand() > 0,
-            "one of an older layout stays for its invocations only");
+            "a pool of an older layout must be removed with its last invocation");
       }
     }
 
@@ -110,7 +111,7 @@
       assertEquals(
           expected,
           assignment.servingPool.definition.selector(),
-          "an invocation's hosts change under it");
+          "the hosts of an invocation in flight changed");
       for (HostDescriptor host : hosts(0, 0)) {
         long mask = router.poolMask(host.name(), 0, 0);
         assertEquals(expected.matches(host.name(), 0, 0), (mask >>> assignment.poolId() & 1) != 0);
@@ -126,8 +127,8 @@
   }
 
   /**
-   * Any order of assignments, releases, hosts that come and go, and layouts: the invariants are
-   * checked after each.
+   * Random assignments, releases, changes of ready hosts and of layouts; the invariants are checked
+   * after each step.
    */
   @Property(tries = 300, seed = "4823")
   void invariantsHoldInRandomHistories(@ForAll long seed) {
--- a/src/test/java/flintlead/routing/pool/PoolRouterTest.java
+++ b/src/test/java/flintlead/routing/pool/PoolRouterTest.java
@@ -14,10 +14,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/**
- * Which pool an invocation is assigned to: by its route, its idempotency key and the layouts in
- * force.
- */
+/** Assignment of invocations to pools by route, idempotency key and the layouts in force. */
 class PoolRouterTest extends PoolRouterFixture {
 
   // ---- routes ----
@@ -74,7 +71,7 @@
     assertEquals("b", poolOf(request("f")));
   }
 
-  /** Each function has one target, the same at every gateway. */
+  /** Each function is routed to one target, the same at every gateway. */
   @Test
   void aLargerShareOfASplitMovesFunctionsOverAndNoneBack() {
     Set<String> before = new HashSet<>();
@@ -120,12 +117,15 @@
     for (int i = 0; i < 400; i++) {
       a += poolOf(request("f")).equals("a") ? 1 : 0;
     }
-    assertTrue(a > 150 && a < 250, "of 400 by chance " + a);
+    assertTrue(a > 150 && a < 250, "invocations of 400 that were randomly assigned to a: " + a);
   }
 
   // ---- sticky assignments ----
 
-  /** Hosts of another pool don't know the key: the effect would happen twice. */
+  /**
+   * Hosts of another pool don't know the idempotency key: a repeat sent there would take effect
+   * twice.
+   */
   @Test
   void aRepeatIsAssignedToThePoolOfTheFirstWhileItsKeyIsKnown() {
     begin(spilling());
@@ -133,17 +133,18 @@
     assertEquals("a", first.poolName());
     router.updateHosts(hosts(0, 4));
     assertEquals("b", router.assign(keyed("x1", "other"), now).poolName());
-    assertEquals("a", poolOf(keyed("x1", "t")), "even to a pool without hosts");
+    assertEquals(
+        "a", poolOf(keyed("x1", "t")), "must go to the same pool even if it has no ready hosts");
     Layout turned =
         new Layout(List.of(pool("a", 500), pool("b", 500)), List.of(Route.catchAll("b")));
     router.applyTransition(LayoutTransition.of(turned), now);
     advance(60_000);
-    assertEquals("a", poolOf(keyed("x1", "t")), "the first is still in flight");
+    assertEquals("a", poolOf(keyed("x1", "t")), "the first invocation is still in flight");
     router.release(first, InvocationResult.FAILED, 0.1, now);
     advance(1_999);
     assertEquals("a", poolOf(keyed("x1", "t")));
     advance(2_001);
-    assertEquals("b", poolOf(keyed("x1", "t")), "hosts have forgotten it by now");
+    assertEquals("b", poolOf(keyed("x1", "t")), "the hosts no longer remember the key");
   }
 
   @Test
@@ -160,7 +161,7 @@
     for (int i = 0; i < 60; i++) {
       sticky.assigned("n" + i, pool, now);
     }
-    assertEquals(60, sticky.size(), "expired ones go by themselves, two for each that comes");
+    assertEquals(60, sticky.size(), "each new assignment removes two expired ones");
     assertEquals(900, sticky.evicted());
     sticky.removePool(pool);
     assertNull(sticky.find("n1", now));
@@ -212,13 +213,17 @@
     assertTrue(router.pollMembershipChanged());
     PoolAssignment young = router.assign(request("f"), now);
     assertTrue(old.poolId() != young.poolId());
-    assertEquals(1L << old.poolId(), router.poolMask("a-0", 0, 0), "a host of it stays in it");
+    assertEquals(
+        1L << old.poolId(),
+        router.poolMask("a-0", 0, 0),
+        "its hosts belong to the old pool while it has invocations in flight");
     assertEquals(1L << young.poolId(), router.poolMask("b-0", 0, 0));
     router.release(old, InvocationResult.SUCCEEDED, 0.1, now);
     assertTrue(router.pollMembershipChanged());
-    assertEquals(0, router.poolMask("a-0", 0, 0), "until the last is complete");
+    assertEquals(
+        0, router.poolMask("a-0", 0, 0), "the old pool has no hosts after its last invocation");
     router.release(old, InvocationResult.SUCCEEDED, 0.1, now);
-    assertEquals(1, router.inFlight(), "a second release changes nothing");
+    assertEquals(1, router.inFlight(), "a second release has no effect");
     assertEquals(
         1,
         router.snapshots().stream()
@@ -226,7 +231,7 @@
             .findFirst()
             .orElseThrow()
             .succeeded(),
-        "what is counted goes by the name");
+        "counters are kept by the name of the pool");
   }
 
   @Test
@@ -258,7 +263,7 @@
         router.snapshots().stream().allMatch(each -> each.number() < PoolRouter.MAX_POOL_IDS));
     assignments.forEach(
         assignment -> router.release(assignment, InvocationResult.SUCCEEDED, 0.1, now));
-    assertEquals(10, router.snapshots().size(), "and what is complete frees its id");
+    assertEquals(10, router.snapshots().size(), "a pool's id is freed with its last invocation");
   }
 
   @Test
--- a/src/test/java/flintlead/routing/pool/SpilloverTest.java
+++ b/src/test/java/flintlead/routing/pool/SpilloverTest.java
@@ -10,7 +10,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What a pool in trouble spills, what others accept, and that none harms the next. */
+/**
+ * What an unavailable or failing pool spills, what other pools accept, and that the failure of one
+ * pool does not spread to the next.
+ */
 class SpilloverTest extends PoolRouterFixture {
 
   @Test
@@ -23,24 +26,34 @@
     Map<String, Integer> away = round("x", InvocationResult.SUCCEEDED, InvocationResult.SUCCEEDED);
     assertTrue(
         away.getOrDefault("b", 0) < 20,
-        "few are accepted at first: the other pool has its own to serve: " + away);
+        "only few are accepted at first, as the other pool has its own invocations to serve: "
+            + away);
     for (int i = 0; i < 120; i++) {
       away = round("x", InvocationResult.FAILED, InvocationResult.SUCCEEDED);
     }
-    assertEquals(40, away.get("b"), "and all are within seconds, as its own don't suffer");
+    assertEquals(
+        40,
+        away.get("b"),
+        "all are accepted within seconds, as the accepting pool's own invocations stay fast");
     router.updateHosts(hosts(4, 4));
     Map<String, Integer> first = round("x", InvocationResult.SUCCEEDED, InvocationResult.SUCCEEDED);
-    assertTrue(first.getOrDefault("a", 0) < 12, "its hosts have nothing loaded: " + first);
+    assertTrue(
+        first.getOrDefault("a", 0) < 12,
+        "the hosts have no functions loaded yet, so only few return at first: " + first);
     int before = 0;
     int rounds = 0;
     for (int i = 0; i < 400 && snapshot("a").away() > 0; i++) {
       rounds++;
       int home =
           round("x", InvocationResult.SUCCEEDED, InvocationResult.SUCCEEDED).getOrDefault("a", 0);
-      assertTrue(home >= before - 6, "never back in one step: " + home + " after " + before);
+      assertTrue(
+          home >= before - 6,
+          "functions must not return in one step: " + home + " after " + before);
       before = home;
     }
-    assertTrue(rounds > 150, "ten seconds and not " + rounds * 50 + " ms");
+    assertTrue(
+        rounds > 150,
+        "functions should take about ten seconds to return, not " + rounds * 50 + " ms");
     assertEquals(
         Map.of("a", 40), round("x", InvocationResult.SUCCEEDED, InvocationResult.SUCCEEDED));
     assertTrue(logLines.get(logLines.size() - 1).contains("all of its functions again"));
@@ -58,10 +71,11 @@
     for (int i = 0; i < 20; i++) {
       tried += round("x", InvocationResult.FAILED, InvocationResult.SUCCEEDED).getOrDefault("a", 0);
     }
-    assertTrue(tried > 20, "some are still tried there: " + tried + " of 800");
+    assertTrue(
+        tried > 20, "trial invocations that the failing pool still gets: " + tried + " of 800");
   }
 
-  /** The loss of one pool must not become the loss of the next. */
+  /** The failure of one pool must not spread to the next. */
   @Test
   void aPoolThatSuffersFromSpilledInvocationsAcceptsFewer() {
     begin(spilling());
@@ -76,13 +90,13 @@
     }
     assertTrue(
         round("x", InvocationResult.FAILED, InvocationResult.FAILED).getOrDefault("b", 0) <= 4,
-        "accepted beside a pool's own that fail");
+        "spilled invocations accepted by a pool whose own invocations fail");
     assertTrue(snapshot("b").guestShare() < 0.1);
-    assertEquals(0, snapshot("a").guests(), "and spills nothing to one without hosts");
+    assertEquals(0, snapshot("a").guests(), "nothing is spilled to a pool without ready hosts");
   }
 
   /**
-   * One that can't serve its own is no help to others: what it accepted would be lost there, and
+   * A pool that can't serve its own invocations must not accept others: they would fail there and
    * delay its own.
    */
   @Test
@@ -99,8 +113,8 @@
   }
 
   /**
-   * The responses of an overloaded pool come too late to tell of it; what it has in flight tells it
-   * at once.
+   * The responses of an overloaded pool arrive too late to show the overload; its number of
+   * invocations in flight shows it at once.
    */
   @Test
   void aPoolWithMoreInFlightThanWhenItWasFastAcceptsNone() {
@@ -117,12 +131,14 @@
       before += poolOf(request("x" + i)).equals("b") ? 1 : 0;
     }
     assertTrue(
-        before > 50 && before < 150, "a quarter of them, as much in flight as ever: " + before);
+        before > 50 && before < 150,
+        "about a quarter are accepted while no more are in flight than usual: " + before);
     for (int i = 0; i < 60; i++) {
       router.assign(request("y" + i), now);
     }
     for (int i = 0; i < 400; i++) {
-      assertEquals("a", poolOf(request("x" + i)), "more than ever");
+      assertEquals(
+          "a", poolOf(request("x" + i)), "nothing is accepted with more in flight than usual");
     }
   }
 
