--- a/src/main/java/flintlead/routing/guard/InvocationGuard.java
+++ b/src/main/java/flintlead/routing/guard/InvocationGuard.java
@@ -10,8 +10,8 @@
  * that are noticed only when they can't be undone any more, are counted as violations.
  *
  * <p>An attempt is sent only if the client's connection was known to be open at most {@link
- * #MAX_KNOWLEDGE_AGE} ago: the process may stall at any time, and clients that disconnect meanwhile
- * are not noticed until their sockets are polled again.
+ * #MAX_TIME_SINCE_CLIENT_SEEN} ago: the process may stall at any time, and clients that disconnect
+ * meanwhile are not noticed until their sockets are polled again.
  */
 public final class InvocationGuard {
 
@@ -19,22 +19,22 @@
    * Longest time since the client's connection was last known to be open, for an attempt to be
    * sent.
    */
-  static final Span MAX_KNOWLEDGE_AGE = Span.ofMillis(40);
+  static final Span MAX_TIME_SINCE_CLIENT_SEEN = Span.ofMillis(40);
 
   /**
    * An attempt that is sent more than this long after its client has disconnected breaks the
    * contract with clients.
    */
-  private static final Span ATTEMPT_SLACK = Span.ofMillis(100);
+  private static final Span MAX_SEND_AFTER_DISCONNECT = Span.ofMillis(100);
 
   /** The time granted to a host may exceed the client's remaining time by at most this. */
   private static final Span DEADLINE_SLACK = Span.ofMillis(150);
 
   /** For this long after a stall, late answers are attributed to the stall and not reported. */
-  private static final Span STANDSTILL_EXCUSE = Span.ofMillis(250);
+  private static final Span STALL_GRACE = Span.ofMillis(250);
 
   private final InvariantMonitor monitor;
-  private Moment excusedUntil = Moment.START;
+  private Moment stallGraceEnd = Moment.START;
 
   /** Creates a guard that reports violations to the monitor. */
   public InvocationGuard(InvariantMonitor monitor) {
@@ -87,7 +87,7 @@
    * to act on.
    */
   public static boolean isRecent(Moment knownAt, Moment clock) {
-    return !clock.since(knownAt).isLongerThan(MAX_KNOWLEDGE_AGE);
+    return !clock.since(knownAt).isLongerThan(MAX_TIME_SINCE_CLIENT_SEEN);
   }
 
   /**
@@ -104,13 +104,13 @@
           invocation,
           "attempt sent in phase " + invocation.phase());
     }
-    Span unseen = clock.since(clientSeenAt);
-    if (unseen.isLongerThan(ATTEMPT_SLACK)) {
+    Span sinceClientSeen = clock.since(clientSeenAt);
+    if (sinceClientSeen.isLongerThan(MAX_SEND_AFTER_DISCONNECT)) {
       violated(
           Invariant.CLIENT_SEEN_BEFORE_ATTEMPT,
           invocation,
           "attempt sent although the client's connection was not known to be open for "
-              + millis(unseen));
+              + millis(sinceClientSeen));
     }
     Span left = invocation.deadline().since(clock);
     if (granted.isLongerThan(left.plus(DEADLINE_SLACK))) {
@@ -126,7 +126,7 @@
    * reports a violation if the invocation has ended before; the answer must not be sent then.
    */
   public boolean mayAnswer(InvocationRecord invocation) {
-    if (invocation.become(InvocationPhase.ANSWERED)) {
+    if (invocation.transitionTo(InvocationPhase.ANSWERED)) {
       return true;
     }
     violated(
@@ -141,7 +141,7 @@
    * false if the invocation has ended before.
    */
   public boolean clientGone(InvocationRecord invocation) {
-    return invocation.become(InvocationPhase.CLIENT_GONE);
+    return invocation.transitionTo(InvocationPhase.CLIENT_GONE);
   }
 
   /**
@@ -156,7 +156,7 @@
    * stalled.
    */
   public void overdue(InvocationRecord invocation, Moment clock) {
-    if (clock.isAfter(excusedUntil)) {
+    if (clock.isAfter(stallGraceEnd)) {
       Span late = clock.since(invocation.deadline());
       violated(
           Invariant.ANSWER_IN_TIME,
@@ -172,7 +172,7 @@
 
   /** Records that the process was stalled and runs again from now on. */
   public void stoodStill(Moment clock) {
-    excusedUntil = clock.plus(STANDSTILL_EXCUSE);
+    stallGraceEnd = clock.plus(STALL_GRACE);
   }
 
   private static String millis(Span span) {
--- a/src/main/java/flintlead/routing/guard/InvocationPhase.java
+++ b/src/main/java/flintlead/routing/guard/InvocationPhase.java
@@ -10,7 +10,7 @@
   CLIENT_GONE;
 
   /** Whether the transition to the next phase is allowed. */
-  boolean mayBecome(InvocationPhase next) {
+  boolean canTransitionTo(InvocationPhase next) {
     return this == OPEN && next != OPEN;
   }
 }
--- a/src/main/java/flintlead/routing/guard/InvocationRecord.java
+++ b/src/main/java/flintlead/routing/guard/InvocationRecord.java
@@ -19,7 +19,7 @@
   private final Moment arrivedAt;
   private final Moment deadline;
   private final List<Event> events = new ArrayList<>(4);
-  private int eventsNotKept;
+  private int droppedEvents;
   private InvocationPhase phase = InvocationPhase.OPEN;
 
   InvocationRecord(String id, Moment arrivedAt, Moment deadline) {
@@ -58,7 +58,7 @@
     if (events.size() < MAX_EVENTS) {
       events.add(new Event(at, text));
     } else {
-      eventsNotKept++;
+      droppedEvents++;
     }
   }
 
@@ -70,15 +70,15 @@
       line.append(line.length() == 0 ? "" : "; ").append('+').append(millis).append(' ');
       line.append(event.text);
     }
-    if (eventsNotKept > 0) {
-      line.append("; ").append(eventsNotKept).append(" more");
+    if (droppedEvents > 0) {
+      line.append("; ").append(droppedEvents).append(" more");
     }
     return line.toString();
   }
 
   /** Changes the phase if the transition is allowed. Returns whether it was. */
-  boolean become(InvocationPhase next) {
-    boolean allowed = phase.mayBecome(next);
+  boolean transitionTo(InvocationPhase next) {
+    boolean allowed = phase.canTransitionTo(next);
     phase = allowed ? next : phase;
     return allowed;
   }
--- a/src/test/java/flintlead/routing/guard/InvocationGuardTest.java
+++ b/src/test/java/flintlead/routing/guard/InvocationGuardTest.java
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void anAttemptLeavesOnlyOnRecentKnowledgeOfItsClient() {
+  void anAttemptIsSentOnlyIfItsClientWasSeenRecently() {
     assertEquals(SendVerdict.SEND, verdict(10, 20));
     assertEquals(SendVerdict.LOOK_FIRST, verdict(10, 51));
     assertEquals(SendVerdict.EXPIRED, verdict(299, 300));
@@ -42,12 +42,12 @@
   }
 
   @Test
-  void anAttemptLeavesNoLaterThanItIsWaitedFor() {
+  void anAttemptIsNotSentOnceItIsAbandoned() {
     assertEquals(SendVerdict.EXPIRED, guard.maySend(invocation, after(50), after(50), after(50)));
   }
 
   @Test
-  void whatArrivedMayHaveExpiredBeforeItWasRead() {
+  void anInvocationMayExpireBeforeItIsRead() {
     assertFalse(guard.isExpired(invocation, after(299)));
     assertTrue(guard.isExpired(invocation, after(300)));
   }
@@ -57,14 +57,14 @@
     assertTrue(guard.mayAnswer(invocation));
     assertFalse(guard.mayAnswer(invocation));
     assertFalse(guard.clientGone(invocation));
-    InvocationRecord left = guard.begin("b", START, Span.ofMillis(300));
-    assertTrue(guard.clientGone(left));
-    assertFalse(guard.mayAnswer(left));
+    InvocationRecord disconnected = guard.begin("b", START, Span.ofMillis(300));
+    assertTrue(guard.clientGone(disconnected));
+    assertFalse(guard.mayAnswer(disconnected));
     assertEquals(List.of(Invariant.ONE_FINAL_ANSWER, Invariant.ONE_FINAL_ANSWER), violated);
   }
 
   @Test
-  void whatCanNotBeUndoneIsCounted() {
+  void violationsByAnAttemptThatWasSentAreCounted() {
     guard.sent(invocation, after(0), Span.ofMillis(300), after(90));
     assertEquals(List.of(), violated);
     guard.sent(invocation, after(0), Span.ofMillis(100), after(101));
@@ -82,7 +82,7 @@
   }
 
   @Test
-  void anOverdueInvocationIsAViolationUnlessTheProcessStoodStill() {
+  void anOverdueInvocationIsAViolationUnlessTheProcessWasStalled() {
     guard.stoodStill(after(400));
     guard.overdue(invocation, after(500));
     assertEquals(List.of(), violated);
@@ -95,7 +95,7 @@
   }
 
   @Test
-  void theHistoryCountsFromTheEarliestArrival() {
+  void theHistoryIsRelativeToTheEarliestArrival() {
     invocation.note(after(5), "attempt 0 sent");
     invocation.note(after(25), "throttled");
     assertEquals("+5 attempt 0 sent; +25 throttled", invocation.history());
