--- a/src/test/java/flintlead/routing/pending/PendingResponsesTest.java
+++ b/src/test/java/flintlead/routing/pending/PendingResponsesTest.java
@@ -28,8 +28,8 @@
       new PendingResponses<>(new Span(50), alarms::add);
 
   @Property(tries = 200, seed = "4714")
-  void anyOrderOfCallsPassesOneResponseOn(@ForAll long seed) {
-    PendingResponses<String> any = new PendingResponses<>(new Span(5), alarms::add);
+  void eachInvocationGetsOneResponseInAnyOrderOfCalls(@ForAll long seed) {
+    PendingResponses<String> responses = new PendingResponses<>(new Span(5), alarms::add);
     Random random = new Random(seed);
     Map<Long, Integer> received = new HashMap<>();
     Set<Long> disconnected = new HashSet<>();
@@ -39,26 +39,27 @@
       switch (random.nextInt(4)) {
         case 0 -> {
           long fresh = next++;
-          any.register(
+          responses.register(
               fresh,
               new Moment(at + random.nextInt(20)),
               answer -> received.merge(fresh, 1, Integer::sum));
         }
-        case 1 -> any.complete(id, "a");
+        case 1 -> responses.complete(id, "a");
         case 2 -> {
-          if (any.discard(id)) {
+          if (responses.discard(id)) {
             disconnected.add(id);
           }
         }
-        default -> any.expired(new Moment(at)).forEach(late -> any.complete(late, "late"));
+        default ->
+            responses.expired(new Moment(at)).forEach(late -> responses.complete(late, "late"));
       }
     }
-    any.expired(new Moment(1_000_000)).forEach(late -> any.complete(late, "late"));
-    assertEquals(0, any.size());
+    responses.expired(new Moment(1_000_000)).forEach(late -> responses.complete(late, "late"));
+    assertEquals(0, responses.size());
     for (long id = 0; id < next; id++) {
       assertEquals(disconnected.contains(id) ? 0 : 1, received.getOrDefault(id, 0));
     }
-    assertEquals(any.registered(), any.completed() + any.discarded());
+    assertEquals(responses.registered(), responses.completed() + responses.discarded());
   }
 
   @Test
