--- a/src/main/java/flintlead/routing/admission/AdmissionController.java
+++ b/src/main/java/flintlead/routing/admission/AdmissionController.java
@@ -106,7 +106,7 @@
    * How much longer the retry delay is in a full gateway than in an empty one, as a multiple of the
    * shortest.
    */
-  private static final double FULL_EXTRA = 2;
+  private static final double FULL_LOAD_INCREASE = 2;
 
   private final Limits limits;
   private final Random random;
@@ -189,7 +189,7 @@
    */
   public Span retryAfter() {
     double fullness = (double) admitted / limits.maxInvocations;
-    return MIN_RETRY_AFTER.times((1 + FULL_EXTRA * fullness) * (1 + random.nextDouble()));
+    return MIN_RETRY_AFTER.times((1 + FULL_LOAD_INCREASE * fullness) * (1 + random.nextDouble()));
   }
 
   /** Number of invocations admitted and not yet released. */
--- a/src/test/java/flintlead/routing/admission/AdmissionControllerTest.java
+++ b/src/test/java/flintlead/routing/admission/AdmissionControllerTest.java
@@ -22,8 +22,9 @@
 /** No limit is ever exceeded, and no client can use up the capacity for all others. */
 class AdmissionControllerTest {
 
-  private static Limits bounds(int taken, double share) {
-    return new Limits(taken, 1_000_000, share, 10, 10_000, 1_000, 5_000, Span.ofMillis(100));
+  private static Limits limits(int maxInvocations, double freeShareMultiple) {
+    return new Limits(
+        maxInvocations, 1_000_000, freeShareMultiple, 10, 10_000, 1_000, 5_000, Span.ofMillis(100));
   }
 
   private record Admitted(Source source, long payloadBytes) {
@@ -33,11 +34,12 @@
   }
 
   @Property(tries = 300, seed = "4714")
-  void boundsHoldAndEverythingIsReleased(
-      @ForAll @IntRange(min = 1, max = 50) int most,
-      @ForAll @DoubleRange(min = 0.1, max = 10) double share,
+  void limitsHoldAndEverythingIsReleased(
+      @ForAll @IntRange(min = 1, max = 50) int maxInvocations,
+      @ForAll @DoubleRange(min = 0.1, max = 10) double freeShareMultiple,
       @ForAll long seed) {
-    AdmissionController admission = new AdmissionController(bounds(most, share), new Random(seed));
+    AdmissionController admission =
+        new AdmissionController(limits(maxInvocations, freeShareMultiple), new Random(seed));
     Random random = new Random(seed);
     List<Source> sources = List.of(new Source(), new Source(), new Source());
     List<Admitted> admitted = new ArrayList<>();
@@ -51,7 +53,7 @@
       } else if (!admitted.isEmpty()) {
         admitted.remove(random.nextInt(admitted.size())).release(admission);
       }
-      assertTrue(admission.admitted() <= most && admission.bytes() <= 1_000_000);
+      assertTrue(admission.admitted() <= maxInvocations && admission.bytes() <= 1_000_000);
       assertEquals(admitted.size(), admission.admitted());
       assertEquals(admission.admitted(), sources.stream().mapToInt(Source::invocations).sum());
     }
@@ -65,7 +67,7 @@
    */
   @Test
   void aGreedySourceLeavesRoomForTheNext() {
-    AdmissionController admission = new AdmissionController(bounds(1_000, 4), new Random(1));
+    AdmissionController admission = new AdmissionController(limits(1_000, 4), new Random(1));
     Source greedy = new Source();
     int got = 0;
     for (int i = 0; i < 10_000; i++) {
@@ -81,7 +83,7 @@
 
   @Test
   void aPausedConnectionIsReadAgainOnlyBelowThreeQuartersOfItsWindow() {
-    AdmissionController admission = new AdmissionController(bounds(1_000, 100), new Random(1));
+    AdmissionController admission = new AdmissionController(limits(1_000, 100), new Random(1));
     Source source = new Source();
     for (int i = 0; i < 9; i++) {
       assertTrue(admission.tryAdmit(source, 1));
@@ -98,7 +100,7 @@
 
   @Test
   void aClientThatLeavesResponsesUnreadIsPausedThenDisconnected() {
-    AdmissionController admission = new AdmissionController(bounds(1_000, 4), new Random(1));
+    AdmissionController admission = new AdmissionController(limits(1_000, 4), new Random(1));
     Source source = new Source();
     admission.recordUnsent(source, 1_000, new Moment(0));
     assertFalse(admission.mayRead(source));
@@ -118,7 +120,7 @@
 
   @Test
   void theRetryDelayGrowsWithTheLoad() {
-    AdmissionController admission = new AdmissionController(bounds(10, 100), new Random(1));
+    AdmissionController admission = new AdmissionController(limits(10, 100), new Random(1));
     Span empty = admission.retryAfter();
     Source source = new Source();
     while (admission.tryAdmit(source, 1)) {
