--- a/src/main/java/flintlead/routing/pool/PoolRouter.java
+++ b/src/main/java/flintlead/routing/pool/PoolRouter.java
@@ -74,7 +74,9 @@
     this.table = new PoolTable(MAX_POOL_IDS, sticky::removePool);
     this.routes =
         new RouteSelector(
-            LayoutTransition.of(Layout.DEFAULT), random, pool -> table.listed(pool).readyHosts);
+            LayoutTransition.of(Layout.DEFAULT),
+            random,
+            pool -> table.listedState(pool).readyHosts);
     this.spillover = new SpilloverController(random, log);
     table.add(Layout.DEFAULT.pools().iterator().next(), now);
   }
@@ -87,12 +89,12 @@
    * @return null if no pool accepts it; it has not been sent to any host, so it may be throttled
    */
   public PoolAssignment assign(RouteRequest request, Moment now) {
-    PoolState stuckTo =
+    PoolState stickyPool =
         request.idempotencyKey() == null ? null : sticky.find(request.idempotencyKey(), now);
-    PoolState home = stuckTo != null ? stuckTo : table.listed(routes.select(request));
+    PoolState home = stickyPool != null ? stickyPool : table.listedState(routes.select(request));
     spillover.evaluate(home, now);
     requests.add(request);
-    PoolState assigned = stuckTo != null ? home : homeOrSpillover(home, request, now);
+    PoolState assigned = stickyPool != null ? home : homeOrSpillover(home, request, now);
     if (isFull(assigned)) {
       home.counters.rejected++;
       return null;
@@ -107,7 +109,7 @@
       return home;
     }
     for (String name : home.definition.spillTo()) {
-      PoolState other = table.listed(routes.definition(name));
+      PoolState other = table.listedState(routes.definition(name));
       spillover.evaluate(other, now);
       if (other != home
           && isHealthy(other)
@@ -143,7 +145,7 @@
     }
     String key = assignment.request.idempotencyKey();
     if (key != null) {
-      sticky.assigned(key, pool, now);
+      sticky.recordAssignment(key, pool, now);
     }
   }
 
@@ -165,7 +167,8 @@
     pool.spilloverInFlight -= assignment.isSpillover() ? 1 : 0;
     RouteRequest request = assignment.request;
     if (request.idempotencyKey() != null) {
-      sticky.completed(request.idempotencyKey(), pool, now.plus(request.deduplicationWindow()));
+      sticky.recordCompletion(
+          request.idempotencyKey(), pool, now.plus(request.deduplicationWindow()));
     }
     if (result != InvocationResult.UNKNOWN) {
       recordResult(assignment, result == InvocationResult.SUCCEEDED, relativeLatency);
@@ -195,7 +198,7 @@
    * @return the reason for a refusal, in which case nothing has changed; empty on success
    */
   public List<String> applyTransition(LayoutTransition next, Moment now) {
-    List<String> refusal = table.list(next.pools(), now).stream().toList();
+    List<String> refusal = table.replaceListed(next.pools(), now).stream().toList();
     if (refusal.isEmpty()) {
       routes.setTransition(next);
       updateHosts(knownHosts);
--- a/src/main/java/flintlead/routing/pool/PoolState.java
+++ b/src/main/java/flintlead/routing/pool/PoolState.java
@@ -38,7 +38,7 @@
    * Whether it ever had enough ready hosts. A pool that has them for the first time is new, so it
    * has no functions to take back gradually.
    */
-  boolean wasAvailable;
+  boolean wasEverAvailable;
 
   /** Share of the pool's own functions that are offered to other pools, from 0 to 1. */
   double spillShare;
@@ -58,7 +58,7 @@
   /**
    * Whether this is the state of the given pool, that is, of one with the same name and selector.
    */
-  boolean isOf(Pool other) {
+  boolean isStateOf(Pool other) {
     return definition.name().equals(other.name()) && definition.selector().equals(other.selector());
   }
 
--- a/src/main/java/flintlead/routing/pool/PoolTable.java
+++ b/src/main/java/flintlead/routing/pool/PoolTable.java
@@ -19,7 +19,7 @@
    * Number of pool names with counters; when it is reached, the counters of removed pools are
    * dropped.
    */
-  private static final int MAX_COUNTED_NAMES = 256;
+  private static final int MAX_NAMES_WITH_COUNTERS = 256;
 
   private final int capacity;
   private final Consumer<PoolState> retired;
@@ -49,9 +49,9 @@
    *
    * @throws IllegalStateException if no layout in force contains the pool
    */
-  PoolState listed(Pool pool) {
+  PoolState listedState(Pool pool) {
     for (PoolState state : states) {
-      if (state.listed && state.isOf(pool)) {
+      if (state.listed && state.isStateOf(pool)) {
         return state;
       }
     }
@@ -65,7 +65,7 @@
    * @param pools the pools, no two of them with the same name and hosts
    * @return the reason for a refusal, in which case nothing has changed; empty on success
    */
-  Optional<String> list(List<Pool> pools, Moment now) {
+  Optional<String> replaceListed(List<Pool> pools, Moment now) {
     List<PoolState> kept = new ArrayList<>();
     List<Pool> added = new ArrayList<>();
     for (Pool pool : pools) {
@@ -82,20 +82,20 @@
               + " more; try again when they are complete");
     }
     states.forEach(state -> state.listed = kept.contains(state));
-    retireAll();
+    removeRetired();
     added.forEach(pool -> add(pool, now));
     // The limits of a pool may have changed although its hosts have not.
-    pools.forEach(pool -> listed(pool).definition = pool);
+    pools.forEach(pool -> listedState(pool).definition = pool);
     return Optional.empty();
   }
 
   private Optional<PoolState> stateOf(Pool pool) {
-    return states.stream().filter(state -> state.isOf(pool)).findFirst();
+    return states.stream().filter(state -> state.isStateOf(pool)).findFirst();
   }
 
   /** Adds a state for a pool that has none. */
   void add(Pool pool, Moment now) {
-    if (countersByName.size() >= MAX_COUNTED_NAMES) {
+    if (countersByName.size() >= MAX_NAMES_WITH_COUNTERS) {
       countersByName
           .keySet()
           .removeIf(
@@ -117,7 +117,7 @@
     return states.stream().anyMatch(state -> state.id == id);
   }
 
-  /** Removes the state if nothing refers to it any more. Returns whether it was removed. */
+  /** Removes the state if it is retired. Returns whether it was removed. */
   boolean removeIfRetired(PoolState state) {
     if (!state.isRetired()) {
       return false;
@@ -127,7 +127,7 @@
     return true;
   }
 
-  private void retireAll() {
+  private void removeRetired() {
     List<PoolState> gone = states.stream().filter(PoolState::isRetired).toList();
     states.removeAll(gone);
     gone.forEach(retired);
--- a/src/main/java/flintlead/routing/pool/SpilloverAdmission.java
+++ b/src/main/java/flintlead/routing/pool/SpilloverAdmission.java
@@ -95,14 +95,14 @@
     if (meanRelativeLatency > SLOW_ABOVE) {
       share = Math.max(MIN_SHARE, share * MULTIPLICATIVE_DECREASE);
       growsFast = false;
-    } else if (meanRelativeLatency < FAST_BELOW && isMoreWanted(now)) {
+    } else if (meanRelativeLatency < FAST_BELOW && hasUnmetDemand(now)) {
       // Doubles at first: the functions of a failed pool should be served by others within a second
       // or two.
       share = Math.min(1, growsFast ? FAST_GROWTH * share : share + ADDITIVE_INCREASE);
     }
   }
 
-  private boolean isMoreWanted(Moment now) {
+  private boolean hasUnmetDemand(Moment now) {
     return now.since(lastRejection).isShorterThan(GROWTH_PERIOD);
   }
 }
--- a/src/main/java/flintlead/routing/pool/SpilloverController.java
+++ b/src/main/java/flintlead/routing/pool/SpilloverController.java
@@ -58,8 +58,8 @@
   }
 
   /**
-   * Adjusts the spilled share to the responses since the last evaluation, if enough time has passed
-   * and there are enough responses.
+   * Adjusts the share that the pool spills and the share that it accepts from other pools to the
+   * responses since the last evaluation, if enough time has passed and there are enough responses.
    */
   void evaluate(PoolState pool, Moment now) {
     EvaluationWindow window = pool.window;
@@ -100,13 +100,13 @@
       double before = pool.spillShare;
       pool.spillShare = 1;
       pool.available = false;
-      if (pool.wasAvailable) {
+      if (pool.wasEverAvailable) {
         // Before the first host list no pool has hosts; that is not worth a report.
         logChange(pool, before, Double.NaN);
       }
     }
-    if (available && !pool.wasAvailable) {
-      pool.wasAvailable = true;
+    if (available && !pool.wasEverAvailable) {
+      pool.wasEverAvailable = true;
       pool.spillShare = 0;
     }
     pool.available = available;
--- a/src/main/java/flintlead/routing/pool/StickyAssignments.java
+++ b/src/main/java/flintlead/routing/pool/StickyAssignments.java
@@ -18,7 +18,7 @@
    * Maximum number of old assignments that are removed with each new one: more than one, so that
    * expired assignments don't accumulate.
    */
-  private static final int EVICTION_STEPS = 2;
+  private static final int MAX_EVICTIONS_PER_ASSIGNMENT = 2;
 
   /**
    * The pool of a key, the number of invocations with the key in flight there, and the time until
@@ -56,7 +56,7 @@
   }
 
   /** Records that an invocation with this key was assigned to the pool. */
-  void assigned(String key, PoolState pool, Moment now) {
+  void recordAssignment(String key, PoolState pool, Moment now) {
     Assignment assignment = assignments.remove(key);
     if (assignment == null || !assignment.isValid(now)) {
       assignment = new Assignment(pool);
@@ -68,7 +68,7 @@
 
   private void evictOldest(Moment now) {
     Iterator<Assignment> oldest = assignments.values().iterator();
-    for (int step = 0; step < EVICTION_STEPS && oldest.hasNext(); step++) {
+    for (int step = 0; step < MAX_EVICTIONS_PER_ASSIGNMENT && oldest.hasNext(); step++) {
       boolean valid = oldest.next().isValid(now);
       if (valid && assignments.size() <= capacity) {
         return;
@@ -82,7 +82,7 @@
    * Records that an invocation with this key is complete. The pool's hosts remember the key until
    * {@code knownUntil}.
    */
-  void completed(String key, PoolState pool, Moment knownUntil) {
+  void recordCompletion(String key, PoolState pool, Moment knownUntil) {
     Assignment assignment = assignments.get(key);
     if (assignment != null && assignment.pool == pool) {
       assignment.inFlight = Math.max(0, assignment.inFlight - 1);
--- a/src/test/java/flintlead/routing/pool/LayoutTest.java
+++ b/src/test/java/flintlead/routing/pool/LayoutTest.java
@@ -46,22 +46,22 @@
         SplitKey.FUNCTION);
   }
 
-  private static void wrong(String words, List<Pool> pools, Route... routes) {
+  private static void assertOneFault(String text, List<Pool> pools, Route... routes) {
     List<String> faults = new Layout(pools, List.of(routes)).validate();
     assertEquals(1, faults.size(), faults.toString());
-    assertTrue(faults.get(0).contains(words), faults.get(0));
+    assertTrue(faults.get(0).contains(text), faults.get(0));
     assertTrue(faults.get(0).contains("; "), "must state how to correct it: " + faults.get(0));
   }
 
   @Test
-  void aRightLayoutHasNoFaults() {
+  void aValidLayoutHasNoFaults() {
     assertEquals(
         List.of(),
         new Layout(List.of(A, B), List.of(route("x", "b"), Route.catchAll("a"))).validate());
   }
 
   @Test
-  void eachFaultOfThePoolsIsNamedOnce() {
+  void eachFaultOfThePoolsIsReportedOnce() {
     List<String> none = new Layout(List.of(), List.of()).validate();
     assertTrue(none.get(0).contains("0 pools"), none.toString());
     assertThrows(IllegalArgumentException.class, () -> new Layout(List.of(A, A), List.of()));
@@ -69,25 +69,25 @@
     for (int i = 0; i <= Layout.MAX_POOLS; i++) {
       many.add(Pool.of("p" + i, Selector.ALL));
     }
-    wrong("there may be 1 to 24", many, Route.catchAll("p0"));
-    wrong(
+    assertOneFault("there may be 1 to 24", many, Route.catchAll("p0"));
+    assertOneFault(
         "spills to 'c'",
         List.of(new Pool("a", Selector.ALL, 1, 1, List.of("c"))),
         Route.catchAll("a"));
-    wrong(
+    assertOneFault(
         "spills to itself",
         List.of(new Pool("a", Selector.ALL, 1, 1, List.of("a"))),
         Route.catchAll("a"));
-    wrong(
+    assertOneFault(
         "no name that can be written",
         List.of(Pool.of("a b", Selector.ALL)),
         Route.catchAll("a b"));
   }
 
   @Test
-  void eachFaultOfTheRoutesIsNamedOnce() {
-    wrong("leads to 'c'", List.of(A), route("x", "c"), Route.catchAll("a"));
-    wrong(
+  void eachFaultOfTheRoutesIsReportedOnce() {
+    assertOneFault("leads to 'c'", List.of(A), route("x", "c"), Route.catchAll("a"));
+    assertOneFault(
         "looks at 'c'",
         List.of(A),
         new Route(
@@ -98,7 +98,7 @@
             List.of(new Target("a", 1)),
             SplitKey.FUNCTION),
         Route.catchAll("a"));
-    wrong(
+    assertOneFault(
         "leads nowhere",
         List.of(A),
         new Route(
@@ -109,18 +109,18 @@
             List.of(new Target("a", 0)),
             SplitKey.FUNCTION),
         Route.catchAll("a"));
-    wrong(
+    assertOneFault(
         "route 2 is never reached, as route 1",
         List.of(A),
         route("gr*", "a"),
         route("grade-*", "a"),
         Route.catchAll("a"));
-    wrong("end the routes", List.of(A), route("x", "a"));
-    wrong("end the routes", List.of(A));
+    assertOneFault("end the routes", List.of(A), route("x", "a"));
+    assertOneFault("end the routes", List.of(A));
   }
 
   @Test
-  void missingHostsAreNamed() {
+  void missingHostsAreReported() {
     List<Layout.HostDescriptor> hosts =
         List.of(
             new Layout.HostDescriptor("saw-1", 1, 0, true),
@@ -165,20 +165,20 @@
     "a*, b, false",
     "*b, ab, true"
   })
-  void aWildcardStandsForAnyText(String pattern, String name, boolean meets) {
-    assertEquals(meets, new NamePattern(pattern).matches(name));
+  void aWildcardStandsForAnyText(String pattern, String name, boolean expected) {
+    assertEquals(expected, new NamePattern(pattern).matches(name));
   }
 
   @Test
   void malformedPatternsAndConditionsAreRejected() {
-    for (String wrong : new String[] {"", "a*b*", "a\tb", "a\nb", "\u001f"}) {
-      assertThrows(IllegalArgumentException.class, () -> new NamePattern(wrong));
+    for (String malformed : new String[] {"", "a*b*", "a\tb", "a\nb", "\u001f"}) {
+      assertThrows(IllegalArgumentException.class, () -> new NamePattern(malformed));
     }
-    for (String wrong :
+    for (String malformed :
         new String[] {
           "", "ready(a)", "ready(a) > 2", "ready() < 2", "ready(a) < -1", "ready(a) < 9999999"
         }) {
-      assertThrows(IllegalArgumentException.class, () -> Condition.parse(wrong));
+      assertThrows(IllegalArgumentException.class, () -> Condition.parse(malformed));
     }
     assertEquals(
         new Condition("a", false, 3), Condition.parse(new Condition("a", false, 3).toString()));
--- a/src/test/java/flintlead/routing/pool/PoolRouterFixture.java
+++ b/src/test/java/flintlead/routing/pool/PoolRouterFixture.java
@@ -23,12 +23,12 @@
   Moment now = new Moment(1_000_000);
   final PoolRouter router = new PoolRouter(1_000, new Random(5), now, logLines::add);
 
-  static Pool pool(String name, int most, String... spillTo) {
+  static Pool pool(String name, int maxInFlight, String... spillTo) {
     return new Pool(
         name,
         new Selector(List.of(new NamePattern(name + "-*")), List.of(), List.of()),
         1,
-        most,
+        maxInFlight,
         List.of(spillTo));
   }
 
@@ -65,11 +65,11 @@
     return new RouteRequest(function, "check", null, null, WINDOW);
   }
 
-  static RouteRequest keyed(String function, String token) {
-    return new RouteRequest(function, "lodge", null, token, WINDOW);
+  static RouteRequest keyed(String function, String idempotencyKey) {
+    return new RouteRequest(function, "lodge", null, idempotencyKey, WINDOW);
   }
 
-  void begin(Layout layout) {
+  void applyLayout(Layout layout) {
     assertEquals(List.of(), layout.validate());
     assertEquals(List.of(), router.applyTransition(LayoutTransition.of(layout), now));
     router.updateHosts(hosts(4, 4));
@@ -94,21 +94,23 @@
    *
    * @return number of invocations assigned to each pool
    */
-  Map<String, Integer> round(String ofPool, InvocationResult endA, InvocationResult endB) {
-    Map<String, Integer> went = new HashMap<>();
+  Map<String, Integer> round(
+      String functionPrefix, InvocationResult resultInA, InvocationResult resultInB) {
+    Map<String, Integer> assignedByPool = new HashMap<>();
     List<PoolAssignment> assignments = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
-      PoolAssignment assignment = router.assign(request(ofPool + i), now);
+      PoolAssignment assignment = router.assign(request(functionPrefix + i), now);
       if (assignment != null) {
         assignments.add(assignment);
-        went.merge(assignment.poolName(), 1, Integer::sum);
+        assignedByPool.merge(assignment.poolName(), 1, Integer::sum);
       }
     }
     advance(50);
     assignments.forEach(
         assignment ->
-            router.release(assignment, assignment.poolName().equals("a") ? endA : endB, 0.1, now));
-    return went;
+            router.release(
+                assignment, assignment.poolName().equals("a") ? resultInA : resultInB, 0.1, now));
+    return assignedByPool;
   }
 
   Layout spilling() {
--- a/src/test/java/flintlead/routing/pool/PoolRouterTest.java
+++ b/src/test/java/flintlead/routing/pool/PoolRouterTest.java
@@ -26,8 +26,8 @@
   }
 
   @Test
-  void theFirstRouteThatMatchesCounts() {
-    begin(
+  void theFirstMatchingRouteApplies() {
+    applyLayout(
         new Layout(
             List.of(pool("a", 9), pool("b", 9)),
             List.of(
@@ -54,7 +54,7 @@
 
   @Test
   void aRouteMayDependOnTheReadyHostsOfAPool() {
-    begin(
+    applyLayout(
         new Layout(
             List.of(pool("a", 9), pool("b", 9)),
             List.of(
@@ -84,7 +84,7 @@
               List.of(split(SplitKey.FUNCTION, share, 1 - share)));
       one.applyTransition(LayoutTransition.of(layout), now);
       other.applyTransition(LayoutTransition.of(layout), now);
-      Set<String> there = new HashSet<>();
+      Set<String> assignedToA = new HashSet<>();
       for (int i = 0; i < 2_000; i++) {
         PoolAssignment assignment = one.assign(request("f" + i), now);
         PoolAssignment same = other.assign(request("f" + i), now);
@@ -92,18 +92,19 @@
         one.release(assignment, InvocationResult.UNKNOWN, 0.1, now);
         other.release(same, InvocationResult.UNKNOWN, 0.1, now);
         if (assignment.poolName().equals("a")) {
-          there.add("f" + i);
+          assignedToA.add("f" + i);
         }
       }
-      assertEquals(share, there.size() / 2_000.0, 0.04);
-      assertTrue(there.containsAll(before));
-      before = there;
+      assertEquals(share, assignedToA.size() / 2_000.0, 0.04);
+      assertTrue(assignedToA.containsAll(before));
+      before = assignedToA;
     }
   }
 
   @Test
   void aSplitByCustomerKeepsACustomerTogetherAndOneByInvocationDoesNot() {
-    begin(new Layout(List.of(pool("a", 9), pool("b", 9)), List.of(split(SplitKey.CUSTOMER, 1, 1))));
+    applyLayout(
+        new Layout(List.of(pool("a", 9), pool("b", 9)), List.of(split(SplitKey.CUSTOMER, 1, 1))));
     Set<String> sides = new HashSet<>();
     for (int i = 0; i < 40; i++) {
       String side = poolOf(new RouteRequest("f", "check", "mill" + i, null, WINDOW));
@@ -111,7 +112,7 @@
       sides.add(side);
     }
     assertEquals(2, sides.size());
-    begin(
+    applyLayout(
         new Layout(List.of(pool("a", 9), pool("b", 9)), List.of(split(SplitKey.INVOCATION, 1, 1))));
     int a = 0;
     for (int i = 0; i < 400; i++) {
@@ -128,16 +129,16 @@
    */
   @Test
   void aRepeatIsAssignedToThePoolOfTheFirstWhileItsKeyIsKnown() {
-    begin(spilling());
+    applyLayout(spilling());
     PoolAssignment first = router.assign(keyed("x1", "t"), now);
     assertEquals("a", first.poolName());
     router.updateHosts(hosts(0, 4));
     assertEquals("b", router.assign(keyed("x1", "other"), now).poolName());
     assertEquals(
         "a", poolOf(keyed("x1", "t")), "must go to the same pool even if it has no ready hosts");
-    Layout turned =
+    Layout rerouted =
         new Layout(List.of(pool("a", 500), pool("b", 500)), List.of(Route.catchAll("b")));
-    router.applyTransition(LayoutTransition.of(turned), now);
+    router.applyTransition(LayoutTransition.of(rerouted), now);
     advance(60_000);
     assertEquals("a", poolOf(keyed("x1", "t")), "the first invocation is still in flight");
     router.release(first, InvocationResult.FAILED, 0.1, now);
@@ -152,14 +153,14 @@
     StickyAssignments sticky = new StickyAssignments(100);
     PoolState pool = new PoolState(0, pool("a", 1), now, new PoolCounters());
     for (int i = 0; i < 1_000; i++) {
-      sticky.assigned("t" + i, pool, now);
-      sticky.completed("t" + i, pool, now.plus(WINDOW));
+      sticky.recordAssignment("t" + i, pool, now);
+      sticky.recordCompletion("t" + i, pool, now.plus(WINDOW));
     }
     assertEquals(100, sticky.size());
     assertEquals(900, sticky.evicted());
     advance(3_000);
     for (int i = 0; i < 60; i++) {
-      sticky.assigned("n" + i, pool, now);
+      sticky.recordAssignment("n" + i, pool, now);
     }
     assertEquals(60, sticky.size(), "each new assignment removes two expired ones");
     assertEquals(900, sticky.evicted());
@@ -172,7 +173,7 @@
   /** The control socket sends these names. */
   @Test
   void aSnapshotIsSentUnderFixedNames() {
-    begin(spilling());
+    applyLayout(spilling());
     assertEquals(
         List.of(
             "name",
@@ -197,7 +198,7 @@
 
   @Test
   void anAssignmentKeepsItsPoolToItsRelease() {
-    begin(new Layout(List.of(pool("a", 9), pool("b", 9)), List.of(Route.catchAll("a"))));
+    applyLayout(new Layout(List.of(pool("a", 9), pool("b", 9)), List.of(Route.catchAll("a"))));
     PoolAssignment old = router.assign(request("f"), now);
     Pool other =
         new Pool(
@@ -211,13 +212,13 @@
         router.applyTransition(
             LayoutTransition.of(new Layout(List.of(other), List.of(Route.catchAll("a")))), now));
     assertTrue(router.pollMembershipChanged());
-    PoolAssignment young = router.assign(request("f"), now);
-    assertTrue(old.poolId() != young.poolId());
+    PoolAssignment newer = router.assign(request("f"), now);
+    assertTrue(old.poolId() != newer.poolId());
     assertEquals(
         1L << old.poolId(),
         router.poolMask("a-0", 0, 0),
         "its hosts belong to the old pool while it has invocations in flight");
-    assertEquals(1L << young.poolId(), router.poolMask("b-0", 0, 0));
+    assertEquals(1L << newer.poolId(), router.poolMask("b-0", 0, 0));
     router.release(old, InvocationResult.SUCCEEDED, 0.1, now);
     assertTrue(router.pollMembershipChanged());
     assertEquals(
@@ -270,7 +271,7 @@
   void aTransitionMovesFunctionsOverAndBack() {
     Layout one = new Layout(List.of(pool("a", 500), pool("b", 500)), List.of(Route.catchAll("a")));
     Layout other = new Layout(List.of(pool("b", 500)), List.of(Route.catchAll("b")));
-    begin(one);
+    applyLayout(one);
     Set<String> before = new HashSet<>();
     for (double share : new double[] {0.25, 0.5, 1, 0}) {
       assertEquals(
@@ -278,15 +279,15 @@
           router.applyTransition(
               share == 0 ? LayoutTransition.of(one) : new LayoutTransition(one, other, share),
               now));
-      Set<String> over = new HashSet<>();
+      Set<String> moved = new HashSet<>();
       for (int i = 0; i < 1_000; i++) {
         if (poolOf(request("f" + i)).equals("b")) {
-          over.add("f" + i);
+          moved.add("f" + i);
         }
       }
-      assertEquals(share, over.size() / 1_000.0, 0.05);
-      assertTrue(share == 0 || over.containsAll(before));
-      before = over;
+      assertEquals(share, moved.size() / 1_000.0, 0.05);
+      assertTrue(share == 0 || moved.containsAll(before));
+      before = moved;
     }
     assertEquals(1, PoolRouter.movedShare(one, other, List.of(request("f"))));
     assertEquals(0, PoolRouter.movedShare(one, one, List.of(request("f"))));
--- a/src/test/java/flintlead/routing/pool/SpilloverTest.java
+++ b/src/test/java/flintlead/routing/pool/SpilloverTest.java
@@ -18,7 +18,7 @@
 
   @Test
   void aPoolWithoutHostsSpillsItsFunctionsAndTakesThemBackGradually() {
-    begin(spilling());
+    applyLayout(spilling());
     assertEquals(
         Map.of("a", 40), round("x", InvocationResult.SUCCEEDED, InvocationResult.SUCCEEDED));
     router.updateHosts(hosts(0, 4));
@@ -26,15 +26,11 @@
     Map<String, Integer> away = round("x", InvocationResult.SUCCEEDED, InvocationResult.SUCCEEDED);
     assertTrue(
         away.getOrDefault("b", 0) < 20,
-        "only few are accepted at first, as the other pool has its own invocations to serve: "
-            + away);
+        "few are accepted at first, as the pool has its own functions: " + away);
     for (int i = 0; i < 120; i++) {
       away = round("x", InvocationResult.FAILED, InvocationResult.SUCCEEDED);
     }
-    assertEquals(
-        40,
-        away.get("b"),
-        "all are accepted within seconds, as the accepting pool's own invocations stay fast");
+    assertEquals(40, away.get("b"), "all are accepted within seconds, as the pool stays fast");
     router.updateHosts(hosts(4, 4));
     Map<String, Integer> first = round("x", InvocationResult.SUCCEEDED, InvocationResult.SUCCEEDED);
     assertTrue(
@@ -46,14 +42,10 @@
       rounds++;
       int home =
           round("x", InvocationResult.SUCCEEDED, InvocationResult.SUCCEEDED).getOrDefault("a", 0);
-      assertTrue(
-          home >= before - 6,
-          "functions must not return in one step: " + home + " after " + before);
+      assertTrue(home >= before - 6, "returned in one step: " + home + " after " + before);
       before = home;
     }
-    assertTrue(
-        rounds > 150,
-        "functions should take about ten seconds to return, not " + rounds * 50 + " ms");
+    assertTrue(rounds > 150, "return should take ten seconds, not " + rounds * 50 + " ms");
     assertEquals(
         Map.of("a", 40), round("x", InvocationResult.SUCCEEDED, InvocationResult.SUCCEEDED));
     assertTrue(logLines.get(logLines.size() - 1).contains("all of its functions again"));
@@ -61,12 +53,13 @@
 
   @Test
   void aPoolWhoseResponsesAreFailuresSpillsInPart() {
-    begin(spilling());
+    applyLayout(spilling());
     for (int i = 0; i < 200; i++) {
       round("x", InvocationResult.FAILED, InvocationResult.SUCCEEDED);
     }
-    Map<String, Integer> went = round("x", InvocationResult.FAILED, InvocationResult.SUCCEEDED);
-    assertTrue(went.get("b") >= 28, went.toString());
+    Map<String, Integer> assignedByPool =
+        round("x", InvocationResult.FAILED, InvocationResult.SUCCEEDED);
+    assertTrue(assignedByPool.get("b") >= 28, assignedByPool.toString());
     int tried = 0;
     for (int i = 0; i < 20; i++) {
       tried += round("x", InvocationResult.FAILED, InvocationResult.SUCCEEDED).getOrDefault("a", 0);
@@ -77,8 +70,8 @@
 
   /** The failure of one pool must not spread to the next. */
   @Test
-  void aPoolThatSuffersFromSpilledInvocationsAcceptsFewer() {
-    begin(spilling());
+  void aPoolThatFailsUnderSpilledInvocationsAcceptsFewer() {
+    applyLayout(spilling());
     router.updateHosts(hosts(0, 4));
     for (int i = 0; i < 300; i++) {
       round("x", InvocationResult.FAILED, InvocationResult.SUCCEEDED);
@@ -101,7 +94,7 @@
    */
   @Test
   void aPoolThatSpillsAcceptsNone() {
-    begin(spilling());
+    applyLayout(spilling());
     for (int i = 0; i < 12; i++) {
       round("y", InvocationResult.SUCCEEDED, InvocationResult.FAILED);
     }
@@ -118,7 +111,7 @@
    */
   @Test
   void aPoolWithMoreInFlightThanWhenItWasFastAcceptsNone() {
-    begin(spilling());
+    applyLayout(spilling());
     for (int i = 0; i < 100; i++) {
       round("y", InvocationResult.SUCCEEDED, InvocationResult.SUCCEEDED);
     }
@@ -144,20 +137,20 @@
 
   @Test
   void aFullPoolSpillsThenRejects() {
-    begin(new Layout(List.of(pool("a", 3, "b"), pool("b", 4)), List.of(Route.catchAll("a"))));
-    Map<String, Integer> went = new HashMap<>();
+    applyLayout(new Layout(List.of(pool("a", 3, "b"), pool("b", 4)), List.of(Route.catchAll("a"))));
+    Map<String, Integer> assignedByPool = new HashMap<>();
     for (int i = 0; i < 40; i++) {
       PoolAssignment assignment = router.assign(request("f" + i), now);
-      went.merge(assignment == null ? "none" : assignment.poolName(), 1, Integer::sum);
+      assignedByPool.merge(assignment == null ? "none" : assignment.poolName(), 1, Integer::sum);
     }
-    assertEquals(Map.of("a", 3, "b", 4, "none", 33), went);
+    assertEquals(Map.of("a", 3, "b", 4, "none", 33), assignedByPool);
     assertEquals(33, snapshot("a").turnedAway());
     assertEquals(7, router.inFlight());
   }
 
   @Test
   void aStuckPoolLeavesRoomForTheOthers() {
-    begin(
+    applyLayout(
         new Layout(
             List.of(pool("a", 100_000), pool("b", 100_000)),
             List.of(route("x*", "a"), Route.catchAll("b"))));
