--- a/src/main/java/flintlead/routing/pool/PoolTable.java
+++ b/src/main/java/flintlead/routing/pool/PoolTable.java
@@ -15,8 +15,11 @@
  */
 final class PoolTable {
 
-  /** Names that are counted under; beyond it, counters of pools that are gone are dropped. */
-  private static final int MAX_COUNTED_NAMES = 256;
+  /**
+   * Number of pool names with counters; when it is reached, the counters of removed pools are
+   * dropped.
+   */
+  private static final int MAX_NAMES_WITH_COUNTERS = 256;
 
   private final int capacity;
   private final Consumer<PoolState> retired;
@@ -25,14 +28,14 @@
 
   /**
    * @param capacity pools that may have a state at once
-   * @param retired called with each state that is removed, before its id is free
+   * @param retired called with each removed state, before its id is used again
    */
   PoolTable(int capacity, Consumer<PoolState> retired) {
     this.capacity = capacity;
     this.retired = retired;
   }
 
-  /** All states, in the order in which they came. */
+  /** All states, in the order in which they were added. */
   List<PoolState> states() {
     return Collections.unmodifiableList(states);
   }
@@ -42,25 +45,27 @@
   }
 
   /**
-   * @throws IllegalStateException when no layout in force has the pool
+   * Returns the state of a pool of the layouts in force.
+   *
+   * @throws IllegalStateException if no layout in force contains the pool
    */
-  PoolState listed(Pool pool) {
+  PoolState listedState(Pool pool) {
     for (PoolState state : states) {
-      if (state.listed && state.isOf(pool)) {
+      if (state.listed && state.isStateOf(pool)) {
         return state;
       }
     }
-    throw new IllegalStateException("no state of pool " + pool.name());
+    throw new IllegalStateException("no layout in force contains pool " + pool.name());
   }
 
   /**
-   * Makes these the pools of the layouts in force. Pools that had a state keep it; one that is
-   * listed no more stays until its last invocation is complete.
+   * Replaces the pools of the layouts in force. Pools that have a state keep it; the state of a
+   * pool that is no longer listed stays until its last invocation is complete.
    *
-   * @param pools no two of them with the same name and hosts
-   * @return the reason why it was refused, with nothing changed; empty where it is done
+   * @param pools the pools, no two of them with the same name and hosts
+   * @return the reason for a refusal, in which case nothing has changed; empty on success
    */
-  Optional<String> list(List<Pool> pools, Moment now) {
+  Optional<String> replaceListed(List<Pool> pools, Moment now) {
     List<PoolState> kept = new ArrayList<>();
     List<Pool> added = new ArrayList<>();
     for (Pool pool : pools) {
@@ -77,20 +82,20 @@
               + " more; try again when they are complete");
     }
     states.forEach(state -> state.listed = kept.contains(state));
-    retireAll();
+    removeRetired();
     added.forEach(pool -> add(pool, now));
-    // Limits may differ where hosts do not.
-    pools.forEach(pool -> listed(pool).definition = pool);
+    // The limits of a pool may have changed although its hosts have not.
+    pools.forEach(pool -> listedState(pool).definition = pool);
     return Optional.empty();
   }
 
   private Optional<PoolState> stateOf(Pool pool) {
-    return states.stream().filter(state -> state.isOf(pool)).findFirst();
+    return states.stream().filter(state -> state.isStateOf(pool)).findFirst();
   }
 
-  /** Adds the state of a pool that has none. */
+  /** Adds a state for a pool that has none. */
   void add(Pool pool, Moment now) {
-    if (countersByName.size() >= MAX_COUNTED_NAMES) {
+    if (countersByName.size() >= MAX_NAMES_WITH_COUNTERS) {
       countersByName
           .keySet()
           .removeIf(
@@ -112,7 +117,7 @@
     return states.stream().anyMatch(state -> state.id == id);
   }
 
-  /** Removes the state where nothing refers to it any more; whether it did. */
+  /** Removes the state if it is retired. Returns whether it was removed. */
   boolean removeIfRetired(PoolState state) {
     if (!state.isRetired()) {
       return false;
@@ -122,7 +127,7 @@
     return true;
   }
 
-  private void retireAll() {
+  private void removeRetired() {
     List<PoolState> gone = states.stream().filter(PoolState::isRetired).toList();
     states.removeAll(gone);
     gone.forEach(retired);
--- a/src/test/java/flintlead/routing/admission/AdmissionControllerTest.java
+++ b/src/test/java/flintlead/routing/admission/AdmissionControllerTest.java
@@ -19,11 +19,12 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** No bound is ever exceeded, and no client can leave another without room. */
+/** No limit is ever exceeded, and no client can use up the capacity for all others. */
 class AdmissionControllerTest {
 
-  private static Limits bounds(int taken, double share) {
-    return new Limits(taken, 1_000_000, share, 10, 10_000, 1_000, 5_000, Span.ofMillis(100));
+  private static Limits limits(int maxInvocations, double freeShareMultiple) {
+    return new Limits(
+        maxInvocations, 1_000_000, freeShareMultiple, 10, 10_000, 1_000, 5_000, Span.ofMillis(100));
   }
 
   private record Admitted(Source source, long payloadBytes) {
@@ -33,11 +34,12 @@
   }
 
   @Property(tries = 300, seed = "4714")
-  void boundsHoldAndEverythingIsReleased(
-      @ForAll @IntRange(min = 1, max = 50) int most,
-      @ForAll @DoubleRange(min = 0.1, max = 10) double share,
+  void limitsHoldAndEverythingIsReleased(
+      @ForAll @IntRange(min = 1, max = 50) int maxInvocations,
+      @ForAll @DoubleRange(min = 0.1, max = 10) double freeShareMultiple,
       @ForAll long seed) {
-    AdmissionController admission = new AdmissionController(bounds(most, share), new Random(seed));
+    AdmissionController admission =
+        new AdmissionController(limits(maxInvocations, freeShareMultiple), new Random(seed));
     Random random = new Random(seed);
     List<Source> sources = List.of(new Source(), new Source(), new Source());
     List<Admitted> admitted = new ArrayList<>();
@@ -51,7 +53,7 @@
       } else if (!admitted.isEmpty()) {
         admitted.remove(random.nextInt(admitted.size())).release(admission);
       }
-      assertTrue(admission.admitted() <= most && admission.bytes() <= 1_000_000);
+      assertTrue(admission.admitted() <= maxInvocations && admission.bytes() <= 1_000_000);
       assertEquals(admitted.size(), admission.admitted());
       assertEquals(admission.admitted(), sources.stream().mapToInt(Source::invocations).sum());
     }
@@ -60,12 +62,12 @@
   }
 
   /**
-   * With a share of 4, one source alone fills four fifths; ten thousand of its calls leave room for
-   * ten.
+   * With a multiple of 4, a single source can fill four fifths of the capacity: after ten thousand
+   * calls of a greedy source, ten calls of another one are still admitted.
    */
   @Test
   void aGreedySourceLeavesRoomForTheNext() {
-    AdmissionController admission = new AdmissionController(bounds(1_000, 4), new Random(1));
+    AdmissionController admission = new AdmissionController(limits(1_000, 4), new Random(1));
     Source greedy = new Source();
     int got = 0;
     for (int i = 0; i < 10_000; i++) {
@@ -81,7 +83,7 @@
 
   @Test
   void aPausedConnectionIsReadAgainOnlyBelowThreeQuartersOfItsWindow() {
-    AdmissionController admission = new AdmissionController(bounds(1_000, 100), new Random(1));
+    AdmissionController admission = new AdmissionController(limits(1_000, 100), new Random(1));
     Source source = new Source();
     for (int i = 0; i < 9; i++) {
       assertTrue(admission.tryAdmit(source, 1));
@@ -91,14 +93,14 @@
     assertFalse(admission.mayRead(source));
     admission.release(source, 1);
     admission.release(source, 1);
-    assertFalse(admission.mayRead(source), "8 of 10 left: not yet");
+    assertFalse(admission.mayRead(source), "8 of 10 are in flight, more than three quarters");
     admission.release(source, 1);
     assertTrue(admission.mayRead(source));
   }
 
   @Test
   void aClientThatLeavesResponsesUnreadIsPausedThenDisconnected() {
-    AdmissionController admission = new AdmissionController(bounds(1_000, 4), new Random(1));
+    AdmissionController admission = new AdmissionController(limits(1_000, 4), new Random(1));
     Source source = new Source();
     admission.recordUnsent(source, 1_000, new Moment(0));
     assertFalse(admission.mayRead(source));
@@ -107,16 +109,18 @@
     admission.recordUnsent(source, 900, new Moment(100_001));
     assertFalse(
         admission.shouldClose(source, new Moment(150_000)),
-        "it has read something: its time starts anew");
+        "reading some bytes restarts the client's timeout");
     admission.recordUnsent(source, 5_001, new Moment(100_002));
-    assertTrue(admission.shouldClose(source, new Moment(100_002)), "over the most at once");
+    assertTrue(
+        admission.shouldClose(source, new Moment(100_002)),
+        "more unread bytes than unsentCloseBytes");
     admission.recordUnsent(source, 0, new Moment(100_003));
     assertTrue(admission.mayRead(source) && !admission.shouldClose(source, new Moment(9_000_000)));
   }
 
   @Test
   void theRetryDelayGrowsWithTheLoad() {
-    AdmissionController admission = new AdmissionController(bounds(10, 100), new Random(1));
+    AdmissionController admission = new AdmissionController(limits(10, 100), new Random(1));
     Span empty = admission.retryAfter();
     Source source = new Source();
     while (admission.tryAdmit(source, 1)) {
@@ -130,14 +134,16 @@
     ConnectionLimiter<String> limiter = new ConnectionLimiter<>(2, Span.ofMillis(10));
     ConnectionLimiter<String>.TrackedConnection first = limiter.add("first", new Moment(0));
     ConnectionLimiter<String>.TrackedConnection second = limiter.add("second", new Moment(1));
-    assertFalse(limiter.canAccept(new Moment(9_000)), "nobody has been idle for long enough");
+    assertFalse(limiter.canAccept(new Moment(9_000)), "no connection has been idle for 10 ms");
     assertSame(first, limiter.evictionCandidate(new Moment(10_000)));
     limiter.setBusy(first, true, new Moment(10_000));
     assertNull(limiter.evictionCandidate(new Moment(10_000)));
     assertSame(second, limiter.evictionCandidate(new Moment(10_001)));
     limiter.setBusy(first, false, new Moment(20_000));
     limiter.setBusy(second, true, new Moment(20_000));
-    assertFalse(limiter.canAccept(new Moment(29_999)), "idle time runs from its last answer");
+    assertFalse(
+        limiter.canAccept(new Moment(29_999)),
+        "the first has been idle for only 9.999 ms since its last invocation");
     limiter.remove(second);
     assertTrue(limiter.canAccept(new Moment(20_001)));
   }
--- a/src/test/java/flintlead/routing/pool/SpilloverTest.java
+++ b/src/test/java/flintlead/routing/pool/SpilloverTest.java
@@ -10,12 +10,15 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What a pool in trouble spills, what others accept, and that none harms the next. */
+/**
+ * What an unavailable or failing pool spills, what other pools accept, and that the failure of one
+ * pool does not spread to the next.
+ */
 class SpilloverTest extends PoolRouterFixture {
 
   @Test
   void aPoolWithoutHostsSpillsItsFunctionsAndTakesThemBackGradually() {
-    begin(spilling());
+    applyLayout(spilling());
     assertEquals(
         Map.of("a", 40), round("x", InvocationResult.SUCCEEDED, InvocationResult.SUCCEEDED));
     router.updateHosts(hosts(0, 4));
@@ -23,24 +26,26 @@
     Map<String, Integer> away = round("x", InvocationResult.SUCCEEDED, InvocationResult.SUCCEEDED);
     assertTrue(
         away.getOrDefault("b", 0) < 20,
-        "few are accepted at first: the other pool has its own to serve: " + away);
+        "few are accepted at first, as the pool has its own functions: " + away);
     for (int i = 0; i < 120; i++) {
       away = round("x", InvocationResult.FAILED, InvocationResult.SUCCEEDED);
     }
-    assertEquals(40, away.get("b"), "and all are within seconds, as its own don't suffer");
+    assertEquals(40, away.get("b"), "all are accepted within seconds, as the pool stays fast");
     router.updateHosts(hosts(4, 4));
     Map<String, Integer> first = round("x", InvocationResult.SUCCEEDED, InvocationResult.SUCCEEDED);
-    assertTrue(first.getOrDefault("a", 0) < 12, "its hosts have nothing loaded: " + first);
+    assertTrue(
+        first.getOrDefault("a", 0) < 12,
+        "the hosts have no functions loaded yet, so only few return at first: " + first);
     int before = 0;
     int rounds = 0;
     for (int i = 0; i < 400 && snapshot("a").away() > 0; i++) {
       rounds++;
       int home =
           round("x", InvocationResult.SUCCEEDED, InvocationResult.SUCCEEDED).getOrDefault("a", 0);
-      assertTrue(home >= before - 6, "never back in one step: " + home + " after " + before);
+      assertTrue(home >= before - 6, "returned in one step: " + home + " after " + before);
       before = home;
     }
-    assertTrue(rounds > 150, "ten seconds and not " + rounds * 50 + " ms");
+    assertTrue(rounds > 150, "return should take ten seconds, not " + rounds * 50 + " ms");
     assertEquals(
         Map.of("a", 40), round("x", InvocationResult.SUCCEEDED, InvocationResult.SUCCEEDED));
     assertTrue(logLines.get(logLines.size() - 1).contains("all of its functions again"));
@@ -48,23 +53,25 @@
 
   @Test
   void aPoolWhoseResponsesAreFailuresSpillsInPart() {
-    begin(spilling());
+    applyLayout(spilling());
     for (int i = 0; i < 200; i++) {
       round("x", InvocationResult.FAILED, InvocationResult.SUCCEEDED);
     }
-    Map<String, Integer> went = round("x", InvocationResult.FAILED, InvocationResult.SUCCEEDED);
-    assertTrue(went.get("b") >= 28, went.toString());
+    Map<String, Integer> assignedByPool =
+        round("x", InvocationResult.FAILED, InvocationResult.SUCCEEDED);
+    assertTrue(assignedByPool.get("b") >= 28, assignedByPool.toString());
     int tried = 0;
     for (int i = 0; i < 20; i++) {
       tried += round("x", InvocationResult.FAILED, InvocationResult.SUCCEEDED).getOrDefault("a", 0);
     }
-    assertTrue(tried > 20, "some are still tried there: " + tried + " of 800");
+    assertTrue(
+        tried > 20, "trial invocations that the failing pool still gets: " + tried + " of 800");
   }
 
-  /** The loss of one pool must not become the loss of the next. */
+  /** The failure of one pool must not spread to the next. */
   @Test
-  void aPoolThatSuffersFromSpilledInvocationsAcceptsFewer() {
-    begin(spilling());
+  void aPoolThatFailsUnderSpilledInvocationsAcceptsFewer() {
+    applyLayout(spilling());
     router.updateHosts(hosts(0, 4));
     for (int i = 0; i < 300; i++) {
       round("x", InvocationResult.FAILED, InvocationResult.SUCCEEDED);
@@ -76,18 +83,18 @@
     }
     assertTrue(
         round("x", InvocationResult.FAILED, InvocationResult.FAILED).getOrDefault("b", 0) <= 4,
-        "accepted beside a pool's own that fail");
+        "spilled invocations accepted by a pool whose own invocations fail");
     assertTrue(snapshot("b").guestShare() < 0.1);
-    assertEquals(0, snapshot("a").guests(), "and spills nothing to one without hosts");
+    assertEquals(0, snapshot("a").guests(), "nothing is spilled to a pool without ready hosts");
   }
 
   /**
-   * One that can't serve its own is no help to others: what it accepted would be lost there, and
+   * A pool that can't serve its own invocations must not accept others: they would fail there and
    * delay its own.
    */
   @Test
   void aPoolThatSpillsAcceptsNone() {
-    begin(spilling());
+    applyLayout(spilling());
     for (int i = 0; i < 12; i++) {
       round("y", InvocationResult.SUCCEEDED, InvocationResult.FAILED);
     }
@@ -99,12 +106,12 @@
   }
 
   /**
-   * The responses of an overloaded pool come too late to tell of it; what it has in flight tells it
-   * at once.
+   * The responses of an overloaded pool arrive too late to show the overload; its number of
+   * invocations in flight shows it at once.
    */
   @Test
   void aPoolWithMoreInFlightThanWhenItWasFastAcceptsNone() {
-    begin(spilling());
+    applyLayout(spilling());
     for (int i = 0; i < 100; i++) {
       round("y", InvocationResult.SUCCEEDED, InvocationResult.SUCCEEDED);
     }
@@ -117,31 +124,33 @@
       before += poolOf(request("x" + i)).equals("b") ? 1 : 0;
     }
     assertTrue(
-        before > 50 && before < 150, "a quarter of them, as much in flight as ever: " + before);
+        before > 50 && before < 150,
+        "about a quarter are accepted while no more are in flight than usual: " + before);
     for (int i = 0; i < 60; i++) {
       router.assign(request("y" + i), now);
     }
     for (int i = 0; i < 400; i++) {
-      assertEquals("a", poolOf(request("x" + i)), "more than ever");
+      assertEquals(
+          "a", poolOf(request("x" + i)), "nothing is accepted with more in flight than usual");
     }
   }
 
   @Test
   void aFullPoolSpillsThenRejects() {
-    begin(new Layout(List.of(pool("a", 3, "b"), pool("b", 4)), List.of(Route.catchAll("a"))));
-    Map<String, Integer> went = new HashMap<>();
+    applyLayout(new Layout(List.of(pool("a", 3, "b"), pool("b", 4)), List.of(Route.catchAll("a"))));
+    Map<String, Integer> assignedByPool = new HashMap<>();
     for (int i = 0; i < 40; i++) {
       PoolAssignment assignment = router.assign(request("f" + i), now);
-      went.merge(assignment == null ? "none" : assignment.poolName(), 1, Integer::sum);
+      assignedByPool.merge(assignment == null ? "none" : assignment.poolName(), 1, Integer::sum);
     }
-    assertEquals(Map.of("a", 3, "b", 4, "none", 33), went);
+    assertEquals(Map.of("a", 3, "b", 4, "none", 33), assignedByPool);
     assertEquals(33, snapshot("a").turnedAway());
     assertEquals(7, router.inFlight());
   }
 
   @Test
   void aStuckPoolLeavesRoomForTheOthers() {
-    begin(
+    applyLayout(
         new Layout(
             List.of(pool("a", 100_000), pool("b", 100_000)),
             List.of(route("x*", "a"), Route.catchAll("b"))));
