--- a/src/main/java/flintlead/platform/downstream/ClientConnection.java
+++ b/src/main/java/flintlead/platform/downstream/ClientConnection.java
@@ -13,7 +13,9 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpUtil;
 
-/** One client's connection: one invocation at a time. Used on the event loop only. */
+/**
+ * A client's HTTP connection, which carries one invocation at a time. Used on the event loop only.
+ */
 final class ClientConnection
     implements StreamListener, HttpCodec.RequestHandler, InvocationHandler.ResponseCallback {
 
@@ -29,8 +31,9 @@
   private static final int MAX_REQUEST_BODY = 16 * 1024;
 
   /**
-   * Requests sent ahead are refused after the response before them; what comes after this many is
-   * not read any more, and the connection ends with the last refusal.
+   * Maximum number of requests that a client may pipeline behind an invocation. Each of them is
+   * refused after the response to the invocation. At the limit no more input is read, and the
+   * connection closes after the last refusal.
    */
   private static final int MAX_PIPELINED = 16;
 
@@ -44,19 +47,21 @@
   private final ClientTimeouts timeouts;
   private ClientState state = ClientState.READY;
 
-  /** The invocation under way; only while busy. */
+  /** Id of the invocation in flight; valid only in state {@link ClientState#BUSY}. */
   private long invocation;
 
-  /** Whether the last request lets the connection stay open. */
+  /** Whether the most recent request allows the connection to be kept open. */
   private boolean keepAlive;
 
-  /** Requests read while busy, to be refused once the response before them is out. */
+  /**
+   * Number of requests received while busy; they are refused after the response to the invocation.
+   */
   private int pipelined;
 
-  /** Nothing more is read: the connection ends once what was read has its responses. */
+  /** Set when no more input is read; the connection closes after the responses to what was read. */
   private boolean inputEnded;
 
-  /** The status for bytes that are no request and came while busy; 0 where none came. */
+  /** HTTP status with which malformed input received while busy is refused; 0 if there was none. */
   private int rejectedStatus = NONE;
 
   ClientConnection(HttpFront front, Stream stream) {
@@ -67,7 +72,7 @@
     this.tracked = front.limiter().add(this, now);
   }
 
-  // ---- events of the stream ----
+  // ---- stream events ----
 
   @Override
   public void received(ByteBuf bytes) {
@@ -77,7 +82,7 @@
     try {
       codec.feed(bytes);
     } catch (RuntimeException e) {
-      // A fault that its bytes bring about ends this client's connection only.
+      // A failure caused by a client's input closes only the connection of that client.
       front.logFault(e);
       abort(CloseCause.FAULT);
     }
@@ -139,7 +144,7 @@
   public void rejected(int status, String reason) {
     inputEnded = true;
     if (state == ClientState.BUSY) {
-      // Its response comes after that to the invocation under way.
+      // Refused after the response to the invocation in flight.
       rejectedStatus = status;
       return;
     }
@@ -147,7 +152,7 @@
     respond(status);
   }
 
-  // ---- the response to the invocation ----
+  // ---- response to the invocation ----
 
   @Override
   public void succeeded(ByteBuf body) {
@@ -192,7 +197,7 @@
     }
   }
 
-  /** Whether something that was read while busy has no response yet. */
+  /** Whether requests or malformed input received while busy have not been refused yet. */
   private boolean owesMoreResponses() {
     return pipelined > 0 || rejectedStatus != NONE;
   }
@@ -222,9 +227,9 @@
     }
   }
 
-  // ---- upkeep and the end ----
+  // ---- timeouts and closing ----
 
-  /** Ends the connection, or answers it, where it has waited too long. */
+  /** Closes the connection, or responds with status 408, if a timeout has expired. */
   void checkTimeouts(Moment now) {
     if (isClosed()) {
       return;
@@ -242,23 +247,29 @@
     }
   }
 
-  /** Whether it is open, no request is coming in or under way and every response has left. */
+  /**
+   * Whether the connection is open, no request is being received or in flight, and all responses
+   * have been handed to the kernel.
+   */
   boolean isQuiet() {
     return state == ClientState.READY
         && !timeouts.hasPartialRequest()
         && stream.pendingBytes() == 0;
   }
 
-  /** Whether no complete request came for so long that none is on its way. */
+  /**
+   * Whether the connection has waited for a request for longer than the span, so that none is
+   * assumed to be in transit.
+   */
   boolean isUnusedFor(Span span, Moment now) {
     return state == ClientState.READY && now.since(timeouts.waitingSince()).isLongerThan(span);
   }
 
   /**
-   * Closes the connection if no request is under way: also none that was received and not looked at
-   * yet. Where that isn't known it is looked at first.
+   * Closes the connection unless a request is in flight or waits unread in the socket. If the
+   * socket was not polled recently enough to know, the check is repeated after the next poll.
    *
-   * @return whether it is closed now
+   * @return whether this call closed the connection
    */
   boolean closeUnlessUsed(CloseCause cause) {
     if (state != ClientState.READY || stream.pendingBytes() > 0) {
@@ -273,7 +284,7 @@
     return seen;
   }
 
-  /** Closes after what was written has left. */
+  /** Closes the connection after all written bytes have been handed to the kernel. */
   void close(CloseCause cause) {
     reportUnanswered(cause);
     if (end()) {
@@ -296,7 +307,10 @@
     }
   }
 
-  /** Gives up what the connection holds; false where that was done before. */
+  /**
+   * Marks the connection as closed and releases its resources; returns false if it was closed
+   * before.
+   */
   private boolean end() {
     if (isClosed()) {
       return false;
@@ -318,7 +332,8 @@
 
   private void become(ClientState next) {
     if (!state.mayBecome(next)) {
-      throw new IllegalStateException("client can't go from " + state + " to " + next);
+      throw new IllegalStateException(
+          "client connection cannot change state from " + state + " to " + next);
     }
     state = next;
   }
--- a/src/main/java/flintlead/platform/downstream/ClientState.java
+++ b/src/main/java/flintlead/platform/downstream/ClientState.java
@@ -1,12 +1,12 @@
 package flintlead.platform.downstream;
 
-/** Where a {@link ClientConnection} is between being accepted and its end. */
+/** Lifecycle state of a {@link ClientConnection}. */
 enum ClientState {
-  /** Awaits a request or receives one. */
+  /** Waiting for a request, or receiving one. */
   READY,
-  /** An invocation is under way; requests that the client sends ahead are refused. */
+  /** An invocation is in flight; requests that the client pipelines behind it are refused. */
   BUSY,
-  /** Ended for good. */
+  /** Closed; there is no further transition. */
   CLOSED;
 
   /** Whether the transition from this state to the next is allowed. */
--- a/src/main/java/flintlead/platform/downstream/ClientTimeouts.java
+++ b/src/main/java/flintlead/platform/downstream/ClientTimeouts.java
@@ -3,34 +3,40 @@
 import flintlead.time.Moment;
 import flintlead.time.Span;
 
-/** Keeps the times of one client's connection and decides when it has waited too long. */
+/** Tracks the timeouts of one client connection. */
 final class ClientTimeouts {
 
-  /** What is due on a connection. */
+  /** The timeout that has expired on a connection. */
   enum Expiry {
-    /** Nothing. */
+    /** No timeout has expired. */
     NONE,
-    /** The client does not read its response. */
+    /** The client has not read its response in time. */
     RESPONSE_UNREAD,
-    /** The request did not come, or is incomplete. */
+    /** No complete request arrived in time. */
     REQUEST_INCOMPLETE,
-    /** The connection is idle for too long. */
+    /** The connection has been idle for too long. */
     IDLE
   }
 
-  /** A request must be complete this long after its connection opened or its first byte came. */
+  /**
+   * Time for a complete request: for the first one on a connection from when the connection was
+   * accepted, for later ones from their first byte.
+   */
   private static final Span REQUEST_TIMEOUT = Span.ofMillis(2_300);
 
-  /** Longer than the 4 s for which clients keep an idle connection. */
+  /** Longer than the 4 s for which clients keep idle connections open. */
   private static final Span IDLE_TIMEOUT = Span.ofMillis(6_000);
 
-  /** A response must be read by then. */
+  /** Time for the client to read a response. */
   private static final Span RESPONSE_TIMEOUT = Span.ofMillis(3_000);
 
-  /** Since when a request is awaited or coming in, or the connection is idle. */
+  /** When the current wait for a request, or for the rest of a partial one, began. */
   private Moment waitingSince;
 
-  /** Since when a response lies in the send buffer; null where none does. */
+  /**
+   * When response bytes were first seen in the send buffer; null if the buffer was empty at the
+   * last check.
+   */
   private Moment unreadSince;
 
   private boolean requestSeen;
@@ -40,7 +46,7 @@
     this.waitingSince = acceptedAt;
   }
 
-  /** Bytes were read; notes whether a request has begun that is incomplete. */
+  /** Records that bytes were received, and whether a request is now partly received. */
   void received(boolean partial, Moment now) {
     if (partial && !partialRequest && requestSeen) {
       waitingSince = now;
@@ -48,32 +54,33 @@
     partialRequest = partial;
   }
 
-  /** A complete request was read. */
+  /** Records that a complete request was received. */
   void requestRead(Moment now) {
     requestSeen = true;
     waitingSince = now;
   }
 
-  /** A response was written. */
+  /** Records that a response was written. */
   void responseWritten(Moment now) {
     waitingSince = now;
   }
 
-  /** Since when a request is awaited or coming in, or the connection is idle. */
+  /** When the current wait for a request, or for the rest of a partial one, began. */
   Moment waitingSince() {
     return waitingSince;
   }
 
-  /** Whether a request has begun that is incomplete. */
+  /** Whether a request has been received in part. */
   boolean hasPartialRequest() {
     return partialRequest;
   }
 
   /**
-   * What is due now. To be called regularly, as it also notes since when a response is unread.
+   * Returns the timeout that has expired. Must be called regularly, because it also records when
+   * unsent response bytes were first seen.
    *
    * @param unsent bytes in the send buffer
-   * @param busy whether an invocation is under way, for which no request is awaited
+   * @param busy whether an invocation is in flight, so that no request is awaited
    */
   Expiry check(Moment now, long unsent, boolean busy) {
     if (unsent == 0) {
--- a/src/main/java/flintlead/platform/downstream/CloseCause.java
+++ b/src/main/java/flintlead/platform/downstream/CloseCause.java
@@ -2,31 +2,34 @@
 
 import java.util.Locale;
 
-/** Why the gateway ended a client's connection, or refused it. */
+/** Why the gateway closed or refused a client's connection. */
 public enum CloseCause {
-  /** The response before it was the last on the connection. */
+  /** The last response on the connection was written. */
   LAST_RESPONSE,
-  /** It was idle for too long. */
+  /** The connection was idle for too long. */
   IDLE,
-  /** It was idle, and its place was needed for another. */
+  /** The connection was idle and was closed to make room for a new one. */
   EVICTED,
-  /** It was idle when the gateway shut down. */
+  /** The connection was idle when the gateway shut down. */
   SHUTDOWN,
-  /** Its client did not read its response. */
+  /** The client did not read its response in time. */
   RESPONSE_UNREAD,
-  /** There was no place for it: its request was answered, and nothing else. */
+  /** The connection limit was reached: its first request was refused and nothing else was read. */
   REFUSED,
-  /** The gateway ended at once, as a killed process does. */
+  /** The gateway stopped immediately, as a killed process does. */
   KILLED,
-  /** A fault in the gateway. */
+  /** An internal error in the gateway. */
   FAULT;
 
-  /** Whether its request may have no response: no other close may come before that. */
+  /**
+   * Whether the connection may be closed before its request has a response. Closing it for any
+   * other cause without a response is an invariant violation.
+   */
   boolean mayLeaveUnanswered() {
     return this == RESPONSE_UNREAD || this == KILLED;
   }
 
-  /** The name in log lines. */
+  /** The name used in log events. */
   public String key() {
     return "client_closed_" + name().toLowerCase(Locale.ROOT);
   }
--- a/src/main/java/flintlead/platform/downstream/HttpFront.java
+++ b/src/main/java/flintlead/platform/downstream/HttpFront.java
@@ -18,22 +18,32 @@
 import java.util.concurrent.locks.LockSupport;
 import org.slf4j.Logger;
 
-/** The listening socket for clients, and their connections. Used on the event loop unless said. */
+/**
+ * The HTTP server for clients: its listening socket and the accepted connections. Used on the event
+ * loop only, unless a method states otherwise.
+ */
 public final class HttpFront {
 
   private static final Span TIMEOUT_CHECK_INTERVAL = Span.ofMillis(100);
 
-  /** A connection this young is not closed for a new one: its request may be on the way. */
+  /**
+   * Connections that were opened or used more recently than this are not closed as idle: a request
+   * may be in transit on them.
+   */
   private static final Span MIN_IDLE_BEFORE_CLOSE = Span.ofMillis(150);
 
-  /** How often, and how far apart, it is tried to listen. */
+  /** Maximum number of attempts to bind the address, made {@link #LISTEN_RETRY_NANOS} apart. */
   private static final int MAX_LISTEN_ATTEMPTS = 40;
 
   private static final long LISTEN_RETRY_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
-  /** Refused connections that are open at once, and for how long each may send nothing. */
+  /**
+   * Maximum number of refused connections that wait for their first bytes; beyond it, the oldest is
+   * closed.
+   */
   private static final int MAX_REFUSED = 16;
 
+  /** How long a refused connection may stay open without sending anything. */
   private static final Span REFUSED_TIMEOUT = Span.ofMillis(2_300);
 
   private final EventExecutor loop;
@@ -49,10 +59,10 @@
   private boolean draining;
   private RepeatingTask timeoutChecks;
 
-  /** Streams that were accepted and have not ended on both sides. */
+  /** Accepted streams that are not yet closed in both directions. */
   private int openStreams;
 
-  /** Hears of the ends of connections. */
+  /** Receives notifications of closed connections. */
   public interface Events {
 
     /** The gateway closed or refused a connection. */
@@ -66,8 +76,8 @@
    * Creates a front that does not listen yet.
    *
    * @param handler handles the invocations
-   * @param maxConnections of clients at once
-   * @param events hears of the ends of connections
+   * @param maxConnections maximum number of concurrent client connections
+   * @param events notified of closed connections
    * @param log receives {@code client_connection_failed} and {@code listen_failed}
    */
   public HttpFront(
@@ -88,24 +98,28 @@
   }
 
   /**
-   * Begins to listen. Not to be called from the event loop, as it waits for the port.
+   * Starts listening. Must not be called on the event loop, because it blocks until the address is
+   * bound.
    *
-   * @return where it listens
-   * @throws IOException if the address can't be bound for some seconds
+   * @return the bound address
+   * @throws IOException if the address still cannot be bound after several seconds
    */
-  public Address listen(Address at) throws IOException {
-    listening = listenWithRetries(at);
+  public Address listen(Address address) throws IOException {
+    listening = listenWithRetries(address);
     loop.execute(
         () ->
             timeoutChecks = RepeatingTask.start(loop, TIMEOUT_CHECK_INTERVAL, this::checkTimeouts));
     return listening.address();
   }
 
-  /** The process before may still hold the address, or a socket can't be made for a moment. */
-  private Transport.ListeningSocket listenWithRetries(Address at) throws IOException {
+  /**
+   * Retries because the previous process may still hold the address, or creating a socket may fail
+   * temporarily.
+   */
+  private Transport.ListeningSocket listenWithRetries(Address address) throws IOException {
     for (int attempt = 1; ; attempt++) {
       try {
-        return transport.listen(at, this::accept);
+        return transport.listen(address, this::accept);
       } catch (IOException e) {
         if (attempt == MAX_LISTEN_ATTEMPTS) {
           throw e;
@@ -146,21 +160,24 @@
   }
 
   /**
-   * Each connection ends with its next response. Idle ones stay, and new ones are accepted: a
-   * request may be on its way on them.
+   * From now on, each connection closes after its next response. Idle connections stay open and new
+   * ones are accepted, because a request may be in transit on them.
    */
   public void beginDraining() {
     draining = true;
   }
 
-  /** Whether no request is coming in or under way, and every response has left. */
+  /**
+   * Whether no request is being received or in flight, and all responses have been handed to the
+   * kernel.
+   */
   public boolean isQuiet() {
     return connections.stream().allMatch(ClientConnection::isQuiet);
   }
 
   /**
-   * Closes the connections on which no request is under way, nor can be on its way: those that were
-   * used or opened a moment ago stay.
+   * Closes the connections on which no request is in flight or may be in transit. Those that were
+   * opened or used very recently stay open.
    */
   public void closeIdle() {
     Moment now = loop.now();
@@ -174,17 +191,20 @@
         this::logFault);
   }
 
-  /** Whether no connection is left that a request may come on. */
+  /** Whether no connection is left on which a request could arrive. */
   public boolean hasNoConnections() {
     return connections.isEmpty() && refused.isEmpty();
   }
 
-  /** Whether no connection is left, nor one whose last response its client has not taken. */
+  /**
+   * Whether no connection is left, including those that wait for their client to receive its last
+   * response.
+   */
   public boolean isEmpty() {
     return openStreams == 0;
   }
 
-  /** Closes the socket and every connection at once, for that cause. */
+  /** Closes the listening socket and all client connections with that cause, without waiting for requests. */
   public void close(CloseCause cause) {
     if (timeoutChecks != null) {
       timeoutChecks.cancel();
@@ -196,7 +216,7 @@
     IsolatedLoop.forEach(connections, connection -> connection.close(cause), this::logFault);
   }
 
-  // ---- for its connections ----
+  // ---- called by the connections ----
 
   Moment now() {
     return loop.now();
@@ -214,7 +234,7 @@
     return limiter;
   }
 
-  /** Whether each connection ends with its next response. */
+  /** Whether each connection closes after its next response. */
   boolean isDraining() {
     return draining;
   }
@@ -231,17 +251,17 @@
     refused.remove(connection);
   }
 
-  /** A stream has ended, on both sides. */
+  /** Called when a stream has closed in both directions. */
   void streamClosed() {
     openStreams--;
   }
 
-  /** The gateway closed or refused a connection. */
+  /** Reports that the gateway closed or refused a connection. */
   void closed(CloseCause cause) {
     events.connectionClosed(cause);
   }
 
-  /** A client has closed its connection. */
+  /** Reports that a client closed its connection. */
   void clientLeft() {
     events.clientLeft();
   }
--- a/src/main/java/flintlead/platform/downstream/InvalidRequestException.java
+++ b/src/main/java/flintlead/platform/downstream/InvalidRequestException.java
@@ -1,6 +1,9 @@
 package flintlead.platform.downstream;
 
-/** A request that is no valid invocation. Without a stack trace, as clients bring it about. */
+/**
+ * Thrown for a request that is not a valid invocation. Has no stack trace, because clients can
+ * cause it at any rate.
+ */
 final class InvalidRequestException extends Exception {
 
   private static final long serialVersionUID = 1L;
@@ -19,7 +22,7 @@
     return new InvalidRequestException(BAD_REQUEST, reason);
   }
 
-  /** The path is no invocation's. */
+  /** The path is not that of an invocation. */
   static InvalidRequestException notFound(String reason) {
     return new InvalidRequestException(NOT_FOUND, reason);
   }
--- a/src/main/java/flintlead/platform/downstream/InvocationHandler.java
+++ b/src/main/java/flintlead/platform/downstream/InvocationHandler.java
@@ -5,12 +5,12 @@
 import flintlead.time.Span;
 import io.netty.buffer.ByteBuf;
 
-/** What the HTTP front hands invocations to. Called on the event loop only. */
+/** Handles the invocations that the HTTP front receives. Called on the event loop only. */
 public interface InvocationHandler {
 
   /**
-   * Receives the response to one invocation: exactly one of these is called once, unless the client
-   * disconnects first.
+   * Receives the response to one invocation: exactly one of the response methods is called, once,
+   * unless the client disconnects first.
    */
   interface ResponseCallback {
 
@@ -27,37 +27,39 @@
     Moment seenOpenAt();
   }
 
-  /** Whether an invocation of that number is under way. */
+  /** Whether an invocation with that id is in progress. */
   boolean isOpen(long invocation);
 
   /**
    * Accepts the invocation, or throttles it at once.
    *
    * @param body valid only until this returns
-   * @param earliestArrival when the request may have come, from which its time counts
+   * @param earliestArrival the earliest time at which the request may have arrived; the client's
+   *     timeout counts from it
    */
   void submit(Invocation invocation, ByteBuf body, Moment earliestArrival, ResponseCallback client);
 
-  /** The client has closed its connection: no response is owed. */
+  /** Called when the client has closed its connection: no response is expected any more. */
   void clientDisconnected(long invocation);
 
   /**
-   * The gateway closes the connection of an invocation that is under way, through no fault of its
-   * client. It must never come to that; {@link #clientDisconnected} follows.
+   * Called before the gateway closes the connection of an invocation that has no response, through
+   * no fault of its client. This is an invariant violation; {@link #clientDisconnected} is called
+   * next.
    */
   void closedUnanswered(long invocation, CloseCause cause);
 
-  /** What a client whose request is refused unread is asked to wait. */
+  /** How long a client whose request is refused unread should wait before it retries. */
   Span retryAfter();
 
   /**
    * An invocation as its client sent it.
    *
-   * @param id the number that {@code idText} stands for
+   * @param id {@code idText} as a number
    * @param idText the id as the client wrote it
    * @param functionText the function as the client wrote it
-   * @param spec what the scheduler gets
-   * @param idempotencyKey passed on unchanged; null where the client sent none
+   * @param spec the invocation's description for the scheduler
+   * @param idempotencyKey passed on to hosts unchanged; null if the client sent none
    */
   record Invocation(
       long id, String idText, String functionText, InvocationSpec spec, String idempotencyKey) {}
--- a/src/main/java/flintlead/platform/downstream/InvocationHeaders.java
+++ b/src/main/java/flintlead/platform/downstream/InvocationHeaders.java
@@ -3,10 +3,10 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import java.util.List;
 
-/** Reads single values and numbers out of a request's headers. */
+/** Reads single values and numbers from a request's headers. */
 final class InvocationHeaders {
 
-  /** Digits of an id or a function. */
+  /** Number of hex digits of an id or a function. */
   static final int HEX_DIGITS = 16;
 
   private static final int MAX_NUMBER_LENGTH = 20;
@@ -18,9 +18,10 @@
   }
 
   /**
-   * The header's value; null where there is none.
+   * Returns the header's value, or null if the header is absent.
    *
-   * @throws InvalidRequestException where two values disagree: they would name two invocations
+   * @throws InvalidRequestException if the header is repeated with different values, which would
+   *     describe two invocations
    */
   String optional(String name) throws InvalidRequestException {
     List<String> values = headers.getAll(name);
@@ -29,16 +30,16 @@
     }
     for (String value : values) {
       if (!value.equals(values.get(0))) {
-        throw InvalidRequestException.badRequest(name + " stands there twice");
+        throw InvalidRequestException.badRequest(name + " is repeated with different values");
       }
     }
     return values.get(0);
   }
 
   /**
-   * The header's value.
+   * Returns the header's value.
    *
-   * @throws InvalidRequestException where it is missing or two values disagree
+   * @throws InvalidRequestException if the header is missing or repeated with different values
    */
   String required(String name) throws InvalidRequestException {
     String value = optional(name);
@@ -49,9 +50,9 @@
   }
 
   /**
-   * The header's value as a number.
+   * Returns the header's value as a number.
    *
-   * @throws InvalidRequestException where it is missing, no number or out of range
+   * @throws InvalidRequestException if the value is missing, not a number or out of range
    */
   double requiredNumber(String name, double min, double max) throws InvalidRequestException {
     return number(required(name), name, min, max);
@@ -60,8 +61,8 @@
   /**
    * Parses 16 hex digits.
    *
-   * @param name of what is parsed, for the error
-   * @throws InvalidRequestException where it is anything else
+   * @param name name of the parsed value, for the error message
+   * @throws InvalidRequestException if the text is anything else
    */
   static long hexNumber(String text, String name) throws InvalidRequestException {
     if (!isHex(text)) {
@@ -71,7 +72,8 @@
   }
 
   /**
-   * Whether it is 16 hex digits; Java itself would also read a sign and digits of other scripts.
+   * Whether the text is 16 ASCII hex digits; {@link Long#parseUnsignedLong} alone would also accept
+   * a sign and digits of other scripts.
    */
   private static boolean isHex(String text) {
     for (int i = 0; i < text.length(); i++) {
@@ -86,8 +88,8 @@
   /**
    * Parses a decimal number.
    *
-   * @param name of what is parsed, for the error
-   * @throws InvalidRequestException where it is no number or out of range
+   * @param name name of the parsed value, for the error message
+   * @throws InvalidRequestException if the text is not a number or out of range
    */
   static double number(String text, String name, double min, double max)
       throws InvalidRequestException {
@@ -99,12 +101,15 @@
         }
       }
     } catch (NumberFormatException e) {
-      throw InvalidRequestException.badRequest(name + " is no number");
+      throw InvalidRequestException.badRequest(name + " is not a number");
     }
     throw InvalidRequestException.badRequest(name + " must be a number from " + min + " to " + max);
   }
 
-  /** Java itself would also read NaN, infinities and hexadecimal numbers. */
+  /**
+   * Whether the text has only characters of a decimal number; {@link Double#parseDouble} alone
+   * would also accept NaN, infinities and hexadecimal numbers.
+   */
   private static boolean isDecimal(String text) {
     for (int i = 0; i < text.length(); i++) {
       char c = text.charAt(i);
--- a/src/main/java/flintlead/platform/downstream/InvocationRequestParser.java
+++ b/src/main/java/flintlead/platform/downstream/InvocationRequestParser.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Parses the path and the headers of an invocation's request. Immutable. */
+/** Parses the path and headers of an invocation request. Immutable. */
 public final class InvocationRequestParser {
 
   private static final String PATH_PREFIX = "/call/";
@@ -23,9 +23,9 @@
   /**
    * Creates a parser for one deployment.
    *
-   * @param triggerTypes names, in the order of their numbers
-   * @param needsKey for each trigger type, whether its invocations carry an idempotency key
-   * @param customers names, in the order of their numbers; where empty, none is needed
+   * @param triggerTypes names of the trigger types, by index
+   * @param needsKey for each trigger type, whether its invocations must have an idempotency key
+   * @param customers names of the customers, by index; if empty, requests need not name one
    */
   public InvocationRequestParser(
       List<String> triggerTypes, List<Boolean> needsKey, List<String> customers) {
@@ -41,7 +41,8 @@
   /**
    * Parses the complete request.
    *
-   * @throws InvalidRequestException that says what is wrong and which status it is answered with
+   * @throws InvalidRequestException with the reason and the HTTP status of the response, if the
+   *     request is invalid
    */
   InvocationHandler.Invocation parse(HttpRequest request) throws InvalidRequestException {
     InvocationHeaders headers = new InvocationHeaders(request.headers());
@@ -56,7 +57,7 @@
   private static String function(String path) throws InvalidRequestException {
     int length = PATH_PREFIX.length() + InvocationHeaders.HEX_DIGITS + PATH_SUFFIX.length();
     if (!path.startsWith(PATH_PREFIX) || !path.endsWith(PATH_SUFFIX) || path.length() != length) {
-      throw InvalidRequestException.notFound("no such path");
+      throw InvalidRequestException.notFound("the path is not /call/<function>/fire");
     }
     return path.substring(
         PATH_PREFIX.length(), PATH_PREFIX.length() + InvocationHeaders.HEX_DIGITS);
@@ -87,19 +88,22 @@
   private int triggerType(InvocationHeaders headers) throws InvalidRequestException {
     Integer triggerType = triggerTypes.get(headers.required("X-Class"));
     if (triggerType == null) {
-      throw InvalidRequestException.badRequest("X-Class names no trigger type known here");
+      throw InvalidRequestException.badRequest("X-Class names an unknown trigger type");
     }
     return triggerType;
   }
 
-  /** The customer's number; a deployment without customers serves every client, as number 0. */
+  /**
+   * Returns the customer's index. A deployment without customers serves every client, as customer
+   * 0.
+   */
   private int customer(InvocationHeaders headers) throws InvalidRequestException {
     if (customers.isEmpty()) {
       return 0;
     }
     Integer customer = customers.get(headers.required("X-Merchant"));
     if (customer == null) {
-      throw InvalidRequestException.badRequest("X-Merchant names no customer known here");
+      throw InvalidRequestException.badRequest("X-Merchant names an unknown customer");
     }
     return customer;
   }
@@ -109,12 +113,12 @@
     String key = needed ? headers.required("X-Txn-Key") : headers.optional("X-Txn-Key");
     if (key != null && !isIdempotencyKey(key)) {
       throw InvalidRequestException.badRequest(
-          "X-Txn-Key must be 1 to " + MAX_IDEMPOTENCY_KEY + " letters and figures");
+          "X-Txn-Key must be 1 to " + MAX_IDEMPOTENCY_KEY + " letters, digits, '-' or '_'");
     }
     return key;
   }
 
-  /** Whether it can be passed on in a command's line. */
+  /** Whether the key can be passed on to a host as part of a command line. */
   private static boolean isIdempotencyKey(String key) {
     for (int i = 0; i < key.length(); i++) {
       char c = key.charAt(i);
--- a/src/main/java/flintlead/platform/downstream/RefusedConnection.java
+++ b/src/main/java/flintlead/platform/downstream/RefusedConnection.java
@@ -8,9 +8,9 @@
 import io.netty.handler.codec.http.HttpRequest;
 
 /**
- * A connection over the bound. Its first request is refused, with a time after which to come back,
- * and not read further: to close it with no answer would lose a request that is on its way. Used on
- * the event loop only.
+ * A connection over the connection limit. The first bytes that it sends are answered with status
+ * 503 and a retry delay, and nothing more is read. Closing it without a response would lose a
+ * request that is already in transit. Used on the event loop only.
  */
 final class RefusedConnection implements StreamListener {
 
@@ -45,7 +45,7 @@
     stream.closeGracefully();
   }
 
-  /** Ends it where it has sent nothing. */
+  /** Closes the connection if its client has sent nothing. */
   void closeIfSilent() {
     if (!ended) {
       ended = true;
@@ -61,7 +61,7 @@
     front.streamClosed();
   }
 
-  /** The codec only encodes here. */
+  /** Request handler for a codec that is used for encoding only. */
   private static final class IgnoredRequests implements HttpCodec.RequestHandler {
 
     @Override
--- a/src/main/java/flintlead/platform/downstream/ResourceHints.java
+++ b/src/main/java/flintlead/platform/downstream/ResourceHints.java
@@ -1,11 +1,11 @@
 package flintlead.platform.downstream;
 
 /**
- * What the {@code X-More} header says of an instance of the function, as {@code
- * name:value;name:value}; zero for what it does not say.
+ * Resources needed by an instance of the function, from the {@code X-More} header ({@code
+ * name:value;name:value}). Values that the header omits are zero.
  *
  * @param memoryMb memory of one instance, in MB
- * @param slotsPerInstance invocations that one instance runs at once
+ * @param slotsPerInstance invocations that one instance runs concurrently
  * @param loadMillis how long an instance takes to load
  */
 record ResourceHints(double memoryMb, double slotsPerInstance, double loadMillis) {
@@ -17,10 +17,10 @@
   private static final double MAX_LOAD_MILLIS = 600_000;
 
   /**
-   * Parses the header's value; names that are not known here must have numbers for values too.
+   * Parses the header's value. Unknown names are ignored, but their values must be numbers too.
    *
-   * @param header null where there is none
-   * @throws InvalidRequestException where it is malformed
+   * @param header the header's value; null if the header is absent
+   * @throws InvalidRequestException if the value is malformed
    */
   static ResourceHints parse(String header) throws InvalidRequestException {
     if (header == null || header.isEmpty()) {
--- a/src/main/java/flintlead/platform/downstream/package-info.java
+++ b/src/main/java/flintlead/platform/downstream/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Downstream side of the gateway: clients' HTTP/1.1 connections, one invocation at a time on each.
- * Everything here is used on the event loop's thread, apart from what says otherwise.
+ * Downstream side of the gateway: HTTP/1.1 connections of clients, with one invocation at a time on
+ * each. Everything in this package is used on the event loop's thread unless stated otherwise.
  */
 package flintlead.platform.downstream;
--- a/src/test/java/flintlead/platform/downstream/ClientTimeoutsTest.java
+++ b/src/test/java/flintlead/platform/downstream/ClientTimeoutsTest.java
@@ -7,7 +7,7 @@
 import flintlead.time.Span;
 import org.junit.jupiter.api.Test;
 
-/** When a client's connection has waited too long. */
+/** Timeouts of a client connection. */
 class ClientTimeoutsTest {
 
   private static final Moment START = new Moment(1_000_000);
@@ -18,14 +18,14 @@
   }
 
   @Test
-  void theFirstRequestMustBeWholeInTime() {
+  void theFirstRequestMustBeCompleteInTime() {
     timeouts.received(true, at(2_000));
     assertEquals(Expiry.NONE, timeouts.check(at(2_300), 0, false));
     assertEquals(Expiry.REQUEST_INCOMPLETE, timeouts.check(at(2_301), 0, false));
   }
 
   @Test
-  void aLaterRequestMustBeWholeAfterItsFirstByte() {
+  void aLaterRequestMustBeCompleteInTimeAfterItsFirstByte() {
     timeouts.requestRead(at(10));
     timeouts.responseWritten(at(20));
     timeouts.received(true, at(5_000));
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void anIdleConnectionIsKeptForLongerAndABusyOneForAsLongAsItIsBusy() {
+  void anIdleConnectionIsKeptForLongerAndABusyOneUntilItsResponse() {
     timeouts.requestRead(at(0));
     assertEquals(Expiry.NONE, timeouts.check(at(60_000), 0, true));
     timeouts.responseWritten(at(60_000));
--- a/src/test/java/flintlead/platform/downstream/HttpFrontTest.java
+++ b/src/test/java/flintlead/platform/downstream/HttpFrontTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.slf4j.helpers.NOPLogger;
 
-/** What the front tells of connections that it closes itself. */
+/** Notifications about connections that the front closes itself. */
 @Timeout(30)
 class HttpFrontTest {
 
@@ -30,14 +30,14 @@
   private final SilentHandler handler = new SilentHandler();
 
   @AfterEach
-  void end() {
+  void closeLoop() {
     loop.close();
   }
 
-  /** Takes invocations and answers none. */
+  /** Accepts invocations and responds to none. */
   private static final class SilentHandler implements InvocationHandler {
     final List<Long> submitted = new CopyOnWriteArrayList<>();
-    final List<String> ended = new CopyOnWriteArrayList<>();
+    final List<String> notifications = new CopyOnWriteArrayList<>();
 
     @Override
     public boolean isOpen(long invocation) {
@@ -52,12 +52,12 @@
 
     @Override
     public void clientDisconnected(long invocation) {
-      ended.add(invocation + " disconnected");
+      notifications.add(invocation + " disconnected");
     }
 
     @Override
     public void closedUnanswered(long invocation, CloseCause cause) {
-      ended.add(invocation + " unanswered " + cause);
+      notifications.add(invocation + " unanswered " + cause);
     }
 
     @Override
@@ -66,7 +66,7 @@
     }
   }
 
-  /** Counts nothing. */
+  /** Ignores all notifications. */
   private static final class NoEvents implements HttpFront.Events {
     @Override
     public void connectionClosed(CloseCause cause) {}
@@ -75,8 +75,10 @@
     public void clientLeft() {}
   }
 
-  /** Begins an invocation, closes the front for the cause; returns what the handler was told. */
-  private List<String> closeOverAnInvocation(CloseCause cause) throws IOException {
+  /**
+   * Starts an invocation, closes the front with the cause, and returns the handler's notifications.
+   */
+  private List<String> closeDuringInvocation(CloseCause cause) throws IOException {
     InvocationRequestParser parser =
         new InvocationRequestParser(List.of("check"), List.of(false), List.of("mill"));
     HttpFront front =
@@ -86,20 +88,20 @@
       client.getOutputStream().write(REQUEST.getBytes(StandardCharsets.US_ASCII));
       await().until(() -> !handler.submitted.isEmpty());
       loop.execute(() -> front.close(cause));
-      await().until(() -> handler.ended.contains("1 disconnected"));
+      await().until(() -> handler.notifications.contains("1 disconnected"));
     }
-    return handler.ended;
+    return handler.notifications;
   }
 
   @Test
-  void aCloseOverAnOpenInvocationIsReported() throws Exception {
+  void closingDuringAnOpenInvocationIsReported() throws Exception {
     assertEquals(
         List.of("1 unanswered SHUTDOWN", "1 disconnected"),
-        closeOverAnInvocation(CloseCause.SHUTDOWN));
+        closeDuringInvocation(CloseCause.SHUTDOWN));
   }
 
   @Test
-  void aKillIsNot() throws Exception {
-    assertEquals(List.of("1 disconnected"), closeOverAnInvocation(CloseCause.KILLED));
+  void aKillDuringAnOpenInvocationIsNotReported() throws Exception {
+    assertEquals(List.of("1 disconnected"), closeDuringInvocation(CloseCause.KILLED));
   }
 }
