--- a/src/main/java/flintlead/platform/BackgroundWriter.java
+++ b/src/main/java/flintlead/platform/BackgroundWriter.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Writes lines on a thread of its own, so that a reader that stops reading holds up nobody else.
- * Lines that it can't keep are dropped. May be used by any thread.
+ * Writes lines on a separate thread, so that a blocked output does not block the callers. Lines
+ * that do not fit in the queue are dropped. Thread-safe.
  */
 final class BackgroundWriter implements LogOutput {
 
@@ -19,10 +19,10 @@
   private final PrintStream out;
   private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(MAX_LINES);
 
-  /** Lines that were accepted and are not written yet. */
+  /** Number of accepted lines that are not written yet. */
   private final AtomicInteger unwritten = new AtomicInteger();
 
-  /** Starts the thread, a daemon. */
+  /** Starts the writer thread, which is a daemon. */
   BackgroundWriter(PrintStream out) {
     this.out = out;
     Thread writer = new Thread(this::writeLines, "log-writer");
@@ -33,11 +33,11 @@
   @Override
   public boolean write(String text) {
     unwritten.incrementAndGet();
-    boolean kept = lines.offer(text);
-    if (!kept) {
+    boolean queued = lines.offer(text);
+    if (!queued) {
       unwritten.decrementAndGet();
     }
-    return kept;
+    return queued;
   }
 
   private void writeLines() {
--- a/src/main/java/flintlead/platform/ConfigurationFile.java
+++ b/src/main/java/flintlead/platform/ConfigurationFile.java
@@ -7,8 +7,8 @@
 import java.nio.file.attribute.FileTime;
 
 /**
- * The configuration file on disk, and which state of it was read last. Used by one thread at a
- * time.
+ * The configuration file on disk, with the modification time of the version read last. Not
+ * thread-safe.
  */
 final class ConfigurationFile {
 
@@ -23,8 +23,9 @@
   /**
    * Reads the file.
    *
-   * @throws IOException if it can't be read
-   * @throws IllegalArgumentException that names the key and what is wrong with it
+   * @throws IOException if the file can't be read
+   * @throws IllegalArgumentException if the file is invalid; the message names the key and the
+   *     reason
    */
   PlatformConfig read() throws IOException {
     lastModified = Files.getLastModifiedTime(path);
@@ -32,9 +33,10 @@
   }
 
   /**
-   * Whether the file is another than the one read last.
+   * Whether the modification time differs from that of the version read last.
    *
-   * @throws IOException if that can't be said now, as while the file is being replaced
+   * @throws IOException if the modification time can't be determined, for example while the file is
+   *     being replaced
    */
   boolean isModified() throws IOException {
     return !Files.getLastModifiedTime(path).equals(lastModified);
--- a/src/main/java/flintlead/platform/ConfigurationReloader.java
+++ b/src/main/java/flintlead/platform/ConfigurationReloader.java
@@ -7,8 +7,9 @@
 import org.slf4j.Logger;
 
 /**
- * Reads the configuration file again when it may have changed. One that is malformed is read again
- * some times: it may be half written. Used on the event loop only.
+ * Reloads the configuration file when it may have changed. If the file can't be read or is
+ * malformed, the reload is retried several times, because the file may be only partly written. Used
+ * on the event loop only.
  */
 final class ConfigurationReloader {
 
@@ -22,9 +23,9 @@
   private boolean stopped;
 
   /**
-   * Creates a reloader that does nothing by itself.
+   * Creates a reloader, which reads the file only when one of its methods is called.
    *
-   * @param onReload receives what was read, each time
+   * @param onReload receives the configuration after each successful reload
    * @param log receives {@code configuration_reloaded} and {@code configuration_reload_failed}
    */
   ConfigurationReloader(
@@ -35,14 +36,14 @@
     this.log = log;
   }
 
-  /** Reads the file again. */
+  /** Reloads the file. */
   void reload() {
     reload(MAX_RETRIES);
   }
 
   /**
-   * Reads the file again if it has changed. SIGHUP may have been lost, or ignored by the process
-   * that started this one: the JVM leaves an ignored signal so.
+   * Reloads the file if it has changed. This covers a SIGHUP that was lost, or that the JVM does
+   * not handle because the parent process had set it to be ignored.
    */
   void reloadIfModified() {
     try {
@@ -50,11 +51,11 @@
         reload();
       }
     } catch (IOException e) {
-      // The file is being replaced: the next call looks again.
+      // The file is being replaced: the next call checks again.
     }
   }
 
-  /** Reads nothing any more. */
+  /** Stops reloading. */
   void stop() {
     stopped = true;
   }
--- a/src/main/java/flintlead/platform/InvocationRegistry.java
+++ b/src/main/java/flintlead/platform/InvocationRegistry.java
@@ -14,8 +14,8 @@
 import org.slf4j.Logger;
 
 /**
- * Every invocation that is under way, what each holds of the admission bounds, and the guard that
- * gives it one response. Used on the event loop only.
+ * All invocations in progress. Tracks what each of them counts against the admission limits, and
+ * ensures that each gets one response. Used on the event loop only.
  */
 final class InvocationRegistry {
 
@@ -29,7 +29,7 @@
   /**
    * Creates an empty registry.
    *
-   * @param slack how long after its deadline an invocation may still be answered
+   * @param slack how long after its deadline an invocation may still get its response
    * @param log receives {@code response_guard}, and {@code invocation_ended} at DEBUG
    */
   InvocationRegistry(
@@ -49,32 +49,36 @@
     log.atWarn().addKeyValue("detail", detail).log("response_guard");
   }
 
-  /** Whether an invocation of this id is under way. */
+  /** Whether an invocation with this id is in progress. */
   boolean contains(long id) {
     return invocations.containsKey(id);
   }
 
-  /** The invocation of this id; null where none is under way. */
+  /** Returns the invocation with this id, or null if none is in progress. */
   PendingInvocation find(long id) {
     return invocations.get(id);
   }
 
-  /** What a client whose invocation is not admitted is asked to wait. */
+  /** How long a client whose invocation is not admitted should wait before it retries. */
   Span retryAfter() {
     return admission.retryAfter();
   }
 
   /**
-   * Counts one more invocation in, if the bounds allow it.
+   * Admits one more invocation if the admission limits allow it.
    *
-   * @param source of the one invocation
-   * @param bytes of its body
+   * @param source counts this one invocation
+   * @param bytes size of its body
+   * @return whether it was admitted
    */
   boolean admit(AdmissionController.Source source, int bytes) {
     return admission.tryAdmit(source, bytes);
   }
 
-  /** Adds an admitted invocation; what it holds is given back with its response. */
+  /**
+   * Adds an admitted invocation. It counts against the admission limits until its response is sent
+   * or discarded.
+   */
   void add(PendingInvocation invocation, AdmissionController.Source source) {
     int bytes = invocation.body().length;
     invocations.put(invocation.id(), invocation);
@@ -93,9 +97,10 @@
   }
 
   /**
-   * Gives the client its response; a second one is suppressed and counted as a violation.
+   * Sends the client its response; a second one is suppressed and counted as an invariant
+   * violation.
    *
-   * @param outcome for the invocation's history
+   * @param outcome description for the invocation's history
    */
   void respond(
       PendingInvocation invocation,
@@ -107,7 +112,10 @@
     }
   }
 
-  /** Gives back what the invocation holds, without a response: its client has gone. */
+  /**
+   * Releases the invocation from the admission limits without a response, because its client has
+   * disconnected.
+   */
   void discardResponse(PendingInvocation invocation) {
     invocation.record().note(loop.now(), "client gone");
     if (guard.clientGone(invocation.record())) {
@@ -116,8 +124,8 @@
   }
 
   /**
-   * Once the client has its response: withdraws what still waits to be sent, and forgets the
-   * invocation where nothing more can happen to it.
+   * If the invocation no longer needs a response, withdraws its attempts that are still queued, and
+   * removes the invocation once its attempts have ended and the scheduler has finished with it.
    */
   void releaseIfFinished(PendingInvocation invocation) {
     if (isOpen(invocation)) {
@@ -130,7 +138,10 @@
     }
   }
 
-  /** Everything but one attempt that succeeded is worth a line to who looks for a cause. */
+  /**
+   * Logs the invocation at DEBUG, unless its only attempt succeeded: such invocations are of no
+   * interest for diagnosis.
+   */
   private void logUnlessPlain(PendingInvocation invocation) {
     if (log.isDebugEnabled() && !invocation.succeededAtOnce()) {
       log.atDebug()
@@ -142,7 +153,10 @@
     }
   }
 
-  /** Invocations without a response whose deadline, with the slack, has passed. */
+  /**
+   * Returns the invocations without a response whose deadline plus slack has passed, and reports
+   * each of them to the guard.
+   */
   List<Long> overdue(Moment now) {
     List<Long> overdue = responses.expired(now);
     for (long id : overdue) {
@@ -151,12 +165,12 @@
     return overdue;
   }
 
-  /** Invocations without a response, oldest first. */
+  /** Returns the invocations without a response, oldest first. */
   List<Long> open() {
     return responses.pendingInvocations();
   }
 
-  /** How many invocations have no response. */
+  /** Number of invocations without a response. */
   int openCount() {
     return responses.size();
   }
--- a/src/main/java/flintlead/platform/InvocationService.java
+++ b/src/main/java/flintlead/platform/InvocationService.java
@@ -17,8 +17,8 @@
 import org.slf4j.Logger;
 
 /**
- * Hands clients' invocations to the scheduler, and sees that each gets its response in time. Used
- * on the event loop only.
+ * Submits clients' invocations to the scheduler and ensures that each gets its response in time.
+ * Used on the event loop only.
  */
 final class InvocationService implements InvocationHandler {
 
@@ -34,9 +34,9 @@
   private boolean stopping;
 
   /**
-   * Creates a service that does not check for overdue invocations yet.
+   * Creates a service; {@link #startOverdueChecks} starts its checks for overdue invocations.
    *
-   * @param triggerTypeNames as the host protocol names the trigger types
+   * @param triggerTypeNames names of the trigger types in the host protocol, by index
    * @param log receives {@code invocation_rejected} at DEBUG, and {@code invocation_failed}
    */
   InvocationService(
@@ -104,7 +104,9 @@
     try {
       invocation.setHandle(scheduler.submit(invocation.id(), invocation.spec(loop.now())));
     } catch (RuntimeException e) {
-      // The scheduler does not know the invocation, or not all of it: nobody else would answer it.
+      // The scheduler may have registered the invocation only in part or not at all, so that
+      // nothing
+      // else would respond to it.
       fail(invocation, e);
     }
     registry.releaseIfFinished(invocation);
@@ -139,7 +141,10 @@
     }
   }
 
-  /** Every invocation without a response gets its final one now, and what comes later at once. */
+  /**
+   * Sends every invocation without a response its final response now. Later invocations are
+   * rejected immediately.
+   */
   void abandonAll() {
     stopping = true;
     abandon(registry.open());
@@ -168,11 +173,12 @@
   }
 
   /**
-   * Begins to check for overdue invocations: whatever goes wrong elsewhere, each is answered when
-   * its time is up.
+   * Starts the periodic check for overdue invocations. It ensures that each invocation gets a
+   * response once its time is up, whatever fails elsewhere.
    */
   void startOverdueChecks() {
-    // Behind all timers that are due by now, and as of now: what they answer is not overdue.
+    // The check looks for invocations overdue as of now, but runs after all timers due by now:
+    // what those timers answer is not overdue.
     RepeatingTask.start(loop, OVERDUE_CHECK_INTERVAL, () -> scheduleOverdueCheck(loop.now()));
   }
 
--- a/src/main/java/flintlead/platform/LogOutput.java
+++ b/src/main/java/flintlead/platform/LogOutput.java
@@ -2,12 +2,15 @@
 
 import flintlead.time.Span;
 
-/** Where the lines of the log go. */
+/** Destination of the log's lines. */
 interface LogOutput {
 
-  /** Takes the text of one event, without its last line break; false where it is dropped. */
+  /**
+   * Writes the text of one event, given without its last line break; returns false if it is
+   * dropped.
+   */
   boolean write(String text);
 
-  /** Waits until everything is written, at most that long. */
+  /** Waits until all accepted text is written, for at most the timeout. */
   default void flush(Span timeout) throws InterruptedException {}
 }
--- a/src/main/java/flintlead/platform/LogfmtLogger.java
+++ b/src/main/java/flintlead/platform/LogfmtLogger.java
@@ -11,8 +11,8 @@
 
 /**
  * A logger that writes each event as one line in logfmt: {@code flintlead: WARN event_name
- * key=value key="a value"}. An event without keys, as libraries log it, carries its logger's name.
- * Values are escaped, so that none can break the line. May be used by any thread if its output may.
+ * key=value key="a value"}. An event without keys, as logged by libraries, is prefixed with its
+ * logger's name. Values are escaped, so that none can break the line. Thread-safe if its output is.
  */
 final class LogfmtLogger extends LegacyAbstractLogger implements LoggingEventAware {
 
@@ -20,13 +20,13 @@
   private static final int MAX_VALUE = 1_000;
   private static final int TYPICAL_LINE = 160;
 
-  /** Where lines go. */
+  /** Destination of the formatted lines. */
   interface Output {
 
     /**
      * Writes one line.
      *
-     * @param cause null where there is none
+     * @param cause the logged exception; null if there is none
      */
     void write(String line, Throwable cause);
   }
@@ -131,7 +131,10 @@
     return value.isEmpty() || value.length() > MAX_VALUE;
   }
 
-  /** Appends the text without line breaks and control characters, and cut at a bound. */
+  /**
+   * Appends the text with line breaks and control characters escaped, truncated to {@link
+   * #MAX_VALUE} characters.
+   */
   private static void appendEscaped(StringBuilder line, String text) {
     for (int i = 0; i < Math.min(text.length(), MAX_VALUE); i++) {
       char c = text.charAt(i);
--- a/src/main/java/flintlead/platform/Main.java
+++ b/src/main/java/flintlead/platform/Main.java
@@ -9,7 +9,7 @@
 import org.slf4j.LoggerFactory;
 import sun.misc.Signal;
 
-/** The program {@code flintlead.jar platform}: one gateway, from its start to SIGTERM. */
+/** The command {@code flintlead.jar platform}: runs one gateway until SIGTERM. */
 public final class Main {
 
   private static final int EXIT_OK = 0;
@@ -18,10 +18,10 @@
   private static final String CONFIGURATION_VARIABLE = "ROUTER_CONFIG";
   private static final Span ARCHIVE_WARM_UP = Span.ofMillis(10_000);
 
-  /** Longer would keep a gateway that was started anew out of service for nothing. */
+  /** A longer warm-up would keep a restarted gateway out of service without any benefit. */
   private static final Span WARM_UP = Span.ofMillis(2_500);
 
-  /** The last lines of the log are waited for this long. */
+  /** How long to wait at exit until the last log lines are written. */
   private static final Span LOG_FLUSH = Span.ofMillis(200);
 
   private Main() {}
@@ -29,12 +29,12 @@
   /**
    * Serves until SIGTERM.
    *
-   * @param archive only to run the warm-up, from which the build archives classes
+   * @param archive whether to run only the warm-up from which the build creates the class archive
    * @return the process's exit code
    */
   public static int run(boolean archive) {
     SignalHandler signals = new SignalHandler(NettyEventLoop::clock);
-    // Before all else: the JVM ends on SIGHUP, and on SIGTERM with an exit code of its own.
+    // Installed first: by default the JVM ends on SIGHUP, and on SIGTERM with its own exit code.
     Signal.handle(new Signal("HUP"), signal -> signals.reload());
     Path folder = Path.of(System.getProperty("java.io.tmpdir"));
     if (archive) {
@@ -78,7 +78,10 @@
     }
   }
 
-  /** Chooses the small log, before any class asks SLF4J for a logger. */
+  /**
+   * Selects {@link RateLimitedLog} as the SLF4J provider; must run before any class requests a
+   * logger.
+   */
   private static Logger createLog() {
     setIfAbsent("slf4j.provider", RateLimitedLog.class.getName());
     setIfAbsent("slf4j.internal.verbosity", "WARN");
@@ -95,7 +98,7 @@
     Logger log = createLog();
     try {
       WarmUp.playForArchive(folder, ARCHIVE_WARM_UP, log);
-      // Also so that the archive has the classes of an event with keys.
+      // Logged here also so that the archive contains the classes for an event with keys.
       log.atInfo().addKeyValue("folder", folder).log("warm_up_completed");
       return EXIT_OK;
     } catch (IOException e) {
--- a/src/main/java/flintlead/platform/PendingInvocation.java
+++ b/src/main/java/flintlead/platform/PendingInvocation.java
@@ -9,8 +9,8 @@
 import java.util.List;
 
 /**
- * One invocation from its acceptance until nothing more can happen to it. Used on the event loop
- * only.
+ * One invocation, from its acceptance until its attempts have ended and the scheduler has finished
+ * with it. Used on the event loop only.
  */
 final class PendingInvocation {
 
@@ -23,12 +23,12 @@
   private InvocationHandle handle;
 
   /**
-   * Creates an invocation that the scheduler does not know yet.
+   * Creates an invocation that has not been submitted to the scheduler yet.
    *
-   * @param triggerTypeName as the host protocol names the trigger type
-   * @param body kept until the invocation is forgotten, and not copied
+   * @param triggerTypeName name of the trigger type in the host protocol
+   * @param body kept, without a copy, until the invocation is removed
    * @param client receives the response
-   * @param record as the guard knows it
+   * @param record the guard's record of the invocation
    */
   PendingInvocation(
       InvocationHandler.Invocation request,
@@ -43,12 +43,12 @@
     this.record = record;
   }
 
-  /** Receives the response. */
+  /** Returns the recipient of the response. */
   InvocationHandler.ResponseCallback client() {
     return client;
   }
 
-  /** What the guard knows of it. */
+  /** Returns the guard's record of the invocation. */
   InvocationRecord record() {
     return record;
   }
@@ -69,17 +69,20 @@
     return triggerTypeName;
   }
 
-  /** The index of its trigger type. */
+  /** Returns the index of its trigger type. */
   int triggerType() {
     return request.spec().triggerType();
   }
 
-  /** What the scheduler gets of it: its client's time has been passing since the request came. */
+  /**
+   * Returns the invocation's description for the scheduler. Its timeout is the time left until the
+   * deadline, as the client's time runs from the arrival of the request.
+   */
   InvocationSpec spec(Moment now) {
     return request.spec().withTimeout(record.deadline().since(now));
   }
 
-  /** Null where it has none. */
+  /** Returns the client's idempotency key, or null if it sent none. */
   String idempotencyKey() {
     return request.idempotencyKey();
   }
@@ -88,12 +91,14 @@
     return body;
   }
 
-  /** Its attempts, in the order in which the scheduler asked for them. */
+  /** Returns its attempts, in the order in which the scheduler requested them. */
   List<HostAttempt> attempts() {
     return attempts;
   }
 
-  /** The scheduler's view of it; null until the scheduler has accepted it. */
+  /**
+   * Returns the scheduler's handle for the invocation; null until the scheduler has accepted it.
+   */
   InvocationHandle handle() {
     return handle;
   }
@@ -103,8 +108,8 @@
   }
 
   /**
-   * Ends the attempts that still wait for a connection: they must not leave once the client has its
-   * response or is gone, also where hosts take no cancellations.
+   * Withdraws the attempts that still wait for a connection. They must not be sent once the client
+   * has its response or has disconnected, even if hosts do not support cancellation.
    */
   void withdrawQueuedAttempts() {
     for (HostAttempt attempt : attempts) {
@@ -112,12 +117,15 @@
     }
   }
 
-  /** Whether its first and only attempt succeeded. */
+  /** Whether the invocation had a single attempt, which succeeded. */
   boolean succeededAtOnce() {
     return attempts.size() == 1 && attempts.get(0).succeeded();
   }
 
-  /** Whether the scheduler is done with it, or never had it, and each attempt has ended. */
+  /**
+   * Whether every attempt has ended, and the scheduler has finished with the invocation or never
+   * accepted it.
+   */
   boolean isFinished() {
     if (handle != null && !handle.isFinished()) {
       return false;
--- a/src/main/java/flintlead/platform/PlatformConfig.java
+++ b/src/main/java/flintlead/platform/PlatformConfig.java
@@ -7,15 +7,15 @@
 import java.util.Map;
 
 /**
- * A gateway's configuration file: where it listens, what it may use and whom it works with.
+ * The content of a gateway's configuration file.
  *
- * @param name of this gateway
- * @param listen where clients connect
- * @param seed of all random choices
- * @param memoryMb the process's memory, in MB
- * @param sockets file descriptors that the process may open
+ * @param name name of this gateway
+ * @param listen address to which clients connect
+ * @param seed seed of all random choices
+ * @param memoryMb memory available to the process, in MB
+ * @param sockets number of file descriptors that the process may open
  * @param journal address of the journal service
- * @param initialHostEvents host events until the start, as JSON maps
+ * @param initialHostEvents host events up to the start of the gateway, as JSON maps
  * @param settings settings of the deployment
  */
 record PlatformConfig(
@@ -33,7 +33,9 @@
   private static final int MAX_MEMORY_MB = 1 << 20;
   private static final int SEED_RADIX = 16;
 
-  /** A century in microseconds, so that no sum of spans and moments overflows. */
+  /**
+   * A century in microseconds. Limits settings so that sums of spans and moments can't overflow.
+   */
   private static final double MAX_MICROS = 3.2e15;
 
   private static final List<String> POSITIVE_SETTINGS =
@@ -49,13 +51,14 @@
   private static final List<String> GROUPS = List.of("all", "zone", "cell");
 
   /**
-   * Parses and checks a file.
+   * Parses and validates a file.
    *
-   * @throws IllegalArgumentException that names the key and what is wrong with it
+   * @throws IllegalArgumentException if the file is invalid; the message names the key and the
+   *     reason
    */
   static PlatformConfig parse(JsonReader json, byte[] bytes) {
     if (!(json.read(bytes) instanceof Map<?, ?> file)) {
-      throw new IllegalArgumentException("the file is no JSON object");
+      throw new IllegalArgumentException("the file is not a JSON object");
     }
     Map<?, ?> limits = map(file, "limits");
     if (!(map(file, "known").get("entries") instanceof List<?> events)) {
@@ -84,8 +87,8 @@
   }
 
   /**
-   * Checks what a rule or a bound rests on: a default would be a guess that holds for one
-   * deployment only.
+   * Checks the settings on which scheduling rules and limits depend. They have no defaults, because
+   * a default would be right for one deployment only.
    */
   private static void checkSettings(StartupSettings settings) {
     int triggerTypes = settings.namesOf("services").size();
--- a/src/main/java/flintlead/platform/PlatformGateway.java
+++ b/src/main/java/flintlead/platform/PlatformGateway.java
@@ -16,8 +16,8 @@
 import org.slf4j.Logger;
 
 /**
- * The parts of one gateway between clients and hosts, put together around its scheduler. Used on
- * the event loop only.
+ * Assembles the scheduler of one gateway with the components that connect it to clients and hosts.
+ * Used on the event loop only.
  */
 final class PlatformGateway {
 
@@ -36,13 +36,13 @@
   private final HostListUpdater hosts;
 
   /**
-   * What a gateway is made for.
+   * Settings of one gateway.
    *
-   * @param deployment the deployment as the scheduler gets it
-   * @param triggerTypeNames as the host protocol names the trigger types
-   * @param probeTimeout how long the response to a probe is waited for
-   * @param admission bounds of what is accepted
-   * @param seed of all random choices
+   * @param deployment the deployment as passed to the scheduler
+   * @param triggerTypeNames names of the trigger types in the host protocol, by index
+   * @param probeTimeout how long to wait for the response to a probe
+   * @param admission limits on the invocations that are accepted
+   * @param seed seed of the gateway's random choices
    */
   record Settings(
       Deployment deployment,
@@ -96,7 +96,7 @@
             monitor));
   }
 
-  /** The process did not look at its sockets for that long. */
+  /** Records that the process was stalled: it did not poll its sockets for that long. */
   void stoodStill(Span length) {
     guard.stoodStill(loop.polls().readClock());
     counters.stoodStill(length);
@@ -106,32 +106,32 @@
         .log("process_stood_still");
   }
 
-  /** Counts what becomes of clients' connections. */
+  /** Returns the traffic counters, which also count closed client connections. */
   TrafficCounters counters() {
     return counters;
   }
 
-  /** Counts violations of invariants. */
+  /** Returns the monitor that counts invariant violations. */
   InvariantMonitor monitor() {
     return monitor;
   }
 
-  /** Takes clients' invocations. */
+  /** Returns the handler of clients' invocations. */
   InvocationHandler invocations() {
     return invocations;
   }
 
-  /** Takes changes of the host list. */
+  /** Returns the receiver of host list changes. */
   HostEventProcessor.Listener hosts() {
     return hosts;
   }
 
-  /** Invocations that have no response yet. */
+  /** Number of invocations without a response. */
   int openCount() {
     return registry.openCount();
   }
 
-  /** Every invocation without a response gets its final one now. */
+  /** Sends every invocation without a response its final response now. Later ones are rejected. */
   void abandonAll() {
     invocations.abandonAll();
   }
--- a/src/main/java/flintlead/platform/PlatformSchedulerContext.java
+++ b/src/main/java/flintlead/platform/PlatformSchedulerContext.java
@@ -13,8 +13,8 @@
 import org.slf4j.Logger;
 
 /**
- * What {@link Scheduler} asks of the platform's gateway: translates each request into calls of the
- * classes that do it, and decides nothing. Used on the event loop only.
+ * Connects {@link Scheduler} to the platform's gateway: delegates each of its requests to the
+ * responsible class, and makes no decisions. Used on the event loop only.
  */
 final class PlatformSchedulerContext implements SchedulerContext {
 
@@ -31,8 +31,8 @@
   /**
    * Creates the context and its scheduler.
    *
-   * @param leases of the hosts
-   * @param seed of the scheduler's random choices
+   * @param leases leases of the hosts
+   * @param seed seed of the scheduler's random choices
    * @param log receives {@code scheduler_message}
    */
   PlatformSchedulerContext(
@@ -147,23 +147,23 @@
 
   @Override
   public void subscribeHosts(boolean active) {
-    // The journal is watched from the start.
+    // Nothing to do: the journal is watched from startup on.
   }
 
   @Override
   public void fetchHosts() {
-    // The journal is watched from the start.
+    // Nothing to do: the journal is watched from startup on.
   }
 
   // ---- other gateways ----
 
   @Override
   public void sendGossip(int gateway, byte[] words) {
-    // The platform gives gateways no way to each other.
+    // Not supported: the platform has no channel between gateways.
   }
 
   @Override
   public void broadcastGossip(byte[] words) {
-    // The platform gives gateways no way to each other.
+    // Not supported: the platform has no channel between gateways.
   }
 }
--- a/src/main/java/flintlead/platform/PlatformServer.java
+++ b/src/main/java/flintlead/platform/PlatformServer.java
@@ -34,27 +34,29 @@
 import org.slf4j.Logger;
 
 /**
- * One gateway as a server: put together from its configuration file, reloaded and shut down. Its
- * public methods may be called from any thread but the event loop's.
+ * One gateway as a server: starts it from its configuration file, reloads the file and shuts the
+ * gateway down. Public methods may be called from any thread except the event loop's.
  */
 public final class PlatformServer {
 
-  /** File descriptors for the JVM and the listeners. */
+  /** File descriptors reserved for the JVM and the listening sockets. */
   private static final int RESERVED_DESCRIPTORS = 48;
 
-  /** The part of the other file descriptors that clients' connections may use. */
+  /** Fraction of the remaining file descriptors that client connections may use. */
   private static final double CLIENT_DESCRIPTOR_FRACTION = 0.55;
 
   private static final int MIN_HOST_CONNECTIONS = 8;
   private static final int MAX_RESPONSE_BODY = 64 * 1024;
 
-  /** The part of the heap for request bodies. */
+  /** Fraction of the heap that request bodies may use. */
   private static final double BODY_HEAP_FRACTION = 0.125;
 
-  /** A connection has one invocation at a time, so that no share of a source binds. */
+  /**
+   * Disables the limit on the share of a source: a connection has only one invocation at a time.
+   */
   private static final double UNLIMITED_SHARE = 1_000;
 
-  /** How long a client that leaves its responses unread is waited for. */
+  /** How long a client may leave its responses unread. */
   private static final Span UNREAD_RESPONSE_PATIENCE = Span.ofMillis(3_500);
 
   private final NettyEventLoop loop;
@@ -74,11 +76,11 @@
   private final CompletableFuture<Void> terminated = new CompletableFuture<>();
 
   /**
-   * Reads the configuration; opens no socket yet.
+   * Reads the configuration without opening any socket.
    *
    * @param log receives the gateway's events
-   * @throws IllegalArgumentException that names the key and what is wrong with it, or says that the
-   *     file can't be read
+   * @throws IllegalArgumentException if the file can't be read or is invalid; the message names the
+   *     key and the reason
    */
   public PlatformServer(Path path, Logger log) {
     this.log = log;
@@ -96,11 +98,12 @@
   // ---- start ----
 
   /**
-   * Serves from when this returns.
+   * Starts the gateway; clients are served from when this returns.
    *
-   * @return where it listens
+   * @return the bound address
    * @throws IOException if the address can't be bound
-   * @throws IllegalArgumentException that names the key and what is wrong with it
+   * @throws IllegalArgumentException if the configuration is invalid; the message names the key and
+   *     the reason
    */
   public Address start() throws IOException {
     CompletableFuture<Void> built = CompletableFuture.runAsync(this::build, loop::execute);
@@ -112,7 +115,7 @@
     return front.listen(configuration.listen());
   }
 
-  /** Puts the parts together and begins to watch the journal; on the event loop. */
+  /** Assembles the components and starts watching the journal. Runs on the event loop. */
   private void build() {
     StartupSettings settings = configuration.settings();
     Deployment deployment = settings.deployment();
@@ -209,7 +212,7 @@
     for (int i = 0; i < configuration.initialHostEvents().size(); i++) {
       try {
         if (!events.apply(configuration.initialHostEvents().get(i))) {
-          throw new IllegalArgumentException("an event before it is missing");
+          throw new IllegalArgumentException("the event before this one is missing");
         }
       } catch (IllegalArgumentException e) {
         throw new IllegalArgumentException("known.entries[" + i + "]: " + e.getMessage(), e);
@@ -219,7 +222,7 @@
 
   // ---- reload ----
 
-  /** Reads the configuration file again, and watches the journal where the file says it is now. */
+  /** Reloads the configuration file, and switches to the journal service that it names. */
   public void reload() {
     loop.execute(reloader::reload);
   }
@@ -235,21 +238,23 @@
     gateway.stoodStill(length);
   }
 
-  /** Begins to shut down, as if the signal for it came now. */
+  /** Starts the shutdown, as if its signal were handled now. */
   public void shutdown() {
     shutdown(NettyEventLoop.clock());
   }
 
   /**
-   * Begins to shut down. It ends when every invocation has its response and no client is connected.
-   * Shortly before the platform may kill it all that is open gets its response, and what comes
-   * later is refused at once. Nothing is closed that a request may be on its way on.
+   * Starts the shutdown, which completes when every invocation has its response and no client is
+   * connected. Shortly before the platform may kill the process, all open invocations get their
+   * final response and later ones are rejected immediately. No connection is closed on which a
+   * request may be in transit.
    *
-   * @param signalled when the signal for it was handled; where the process had stood still, it
-   *     counts from when it may have been sent
+   * @param signalled when the shutdown signal was handled; if the process was stalled before, the
+   *     time of the final responses counts from the earliest time at which the signal may have been
+   *     sent
    */
   void shutdown(Moment signalled) {
-    // After a poll, which notices a standstill that has just ended.
+    // After a poll, which detects a stall that has just ended.
     loop.execute(() -> loop.polls().afterNextPoll(() -> beginShutdown(signalled)));
   }
 
@@ -278,16 +283,16 @@
   }
 
   /**
-   * Once no request is under way, closes what is idle, and stops when no connection is left. Until
-   * then every request is answered, however late it comes: the platform ends a gateway that clients
-   * go on using.
+   * Closes idle connections once no request is in flight, and stops when no connection is left.
+   * Until then every request is answered, however late it arrives. If clients keep sending, the
+   * platform ends the gateway.
    */
   private void stopIfEmpty() {
     if (abandoned || gateway.openCount() == 0 && front.isQuiet()) {
       front.closeIdle();
     }
     if (isEmpty()) {
-      // Once more right after a poll: a connection may have been waiting to be accepted.
+      // Checked again right after a poll: a connection may have been waiting to be accepted.
       loop.polls()
           .afterNextPoll(
               () -> {
@@ -312,24 +317,25 @@
       reloader.stop();
       journal.stop();
       front.close(cause);
-      // Some events later, when the closed sockets are released: until then the port would still
-      // accept connections.
+      // Delayed until the closed sockets have been released: before that, the port would still
+      // accept
+      // connections.
       loop.scheduleAfter(ShutdownTimes.POLL_INTERVAL, () -> terminated.complete(null));
     }
   }
 
-  /** Holds the event loop up, for a warm-up. */
+  /** Blocks the event loop for that long, to exercise a stall during warm-up. */
   void standStill(Span length) {
     loop.execute(() -> LockSupport.parkNanos(TimeUnit.MICROSECONDS.toNanos(length.micros())));
   }
 
-  /** Ends at once, as a killed process does. */
+  /** Stops immediately, as a killed process does, and waits until the gateway has stopped. */
   void kill() {
     loop.execute(() -> stop(CloseCause.KILLED));
     awaitTermination();
   }
 
-  /** Waits until it has ended. */
+  /** Waits until the gateway has stopped. */
   public void awaitTermination() {
     terminated.join();
     loop.close();
--- a/src/main/java/flintlead/platform/RateLimitedLog.java
+++ b/src/main/java/flintlead/platform/RateLimitedLog.java
@@ -17,37 +17,40 @@
 
 /**
  * The gateway's log on standard error: an SLF4J provider for a process too small for Logback,
- * chosen by {@code slf4j.provider}. This program's own events are written from INFO on, those of
- * libraries from WARN on.
+ * selected by the system property {@code slf4j.provider}. It writes this program's events from
+ * level INFO on and those of libraries from level WARN on.
  *
- * <p>The rate is bounded, stack traces included: an event that comes with every request must not
- * become a log that takes the gateway's part of a core. What was suppressed is counted and reported
- * by {@code log_lines_suppressed} before the next line. Writing never blocks the caller, whoever
- * reads standard error. May be used by any thread.
+ * <p>The rate is limited, stack traces included, so that logging an event for every request can't
+ * use up the gateway's share of a core. Suppressed lines are counted and reported as {@code
+ * log_lines_suppressed} before the next line. Writing never blocks the caller, even if the reader
+ * of standard error stops reading. Thread-safe.
  */
 public final class RateLimitedLog implements SLF4JServiceProvider, ILoggerFactory {
 
-  /** Lines that may be written at once after a calm time. */
+  /** Number of lines that may be written at once after a period with few lines. */
   static final int BURST = 200;
 
   /**
-   * Lines that may be written in a second in the long run. A journal service that fails for long
-   * brings up to 1.7 and must not suppress the rest.
+   * Sustained rate of lines. A journal service that is down for long causes up to 1.7 lines per
+   * second, which must not suppress other lines.
    */
   static final double LINES_PER_SECOND = 2;
 
-  /** The same bounds where the log is read for a cause, and every request may bring lines. */
+  /**
+   * The same limits at level DEBUG, which is used for diagnosis and may log lines for every
+   * request.
+   */
   private static final int DEBUG_BURST = 20_000;
 
   private static final double DEBUG_LINES_PER_SECOND = 2_000;
 
-  /** The environment variable that chooses the level of this program's own events. */
+  /** The environment variable that sets the level of this program's events. */
   private static final String LEVEL_VARIABLE = "FLINTLEAD_LOG";
 
   private static final String OWN_PACKAGE = "flintlead.";
 
   private final IMarkerFactory markers = new BasicMarkerFactory();
-  private final MDCAdapter context = new NOPMDCAdapter();
+  private final MDCAdapter mdcAdapter = new NOPMDCAdapter();
   private final Level ownLevel;
   private final int burst;
   private final double linesPerSecond;
@@ -67,7 +70,7 @@
   /**
    * Creates a log.
    *
-   * @param ownLevel the lowest level of this program's own events that is written
+   * @param ownLevel the lowest level of this program's events that is written
    */
   RateLimitedLog(LogOutput out, Supplier<Moment> clock, Level ownLevel) {
     this.out = out;
@@ -105,7 +108,7 @@
     return text.toString().stripTrailing();
   }
 
-  /** Waits until what was logged is written, at most that long. */
+  /** Waits until all logged lines are written, for at most the timeout. */
   void flush(Span timeout) throws InterruptedException {
     out.flush(timeout);
   }
@@ -122,7 +125,7 @@
 
   @Override
   public MDCAdapter getMDCAdapter() {
-    return context;
+    return mdcAdapter;
   }
 
   @Override
@@ -132,6 +135,6 @@
 
   @Override
   public void initialize() {
-    // Nothing is needed.
+    // Nothing to initialize.
   }
 }
--- a/src/main/java/flintlead/platform/ShutdownTimes.java
+++ b/src/main/java/flintlead/platform/ShutdownTimes.java
@@ -4,39 +4,41 @@
 import flintlead.time.Span;
 
 /**
- * When the steps of a shutdown are due, counted from its signal.
+ * Times of the steps of a shutdown, counted from its signal.
  *
- * @param drainAfter when connections begin to end with their next response
- * @param abandonAfter when every invocation still open gets its final response
+ * @param drainAfter when connections start to close after their next response
+ * @param abandonAfter when every invocation that is still open gets its final response
  */
 record ShutdownTimes(Span drainAfter, Span abandonAfter) {
 
-  /** How often it is looked whether everything has ended. */
+  /** Interval between checks whether everything has ended. */
   static final Span POLL_INTERVAL = Span.ofMillis(20);
 
-  /** For the final responses to be given and to leave. */
+  /** Time allowed for sending the final responses. */
   private static final Span FINAL_RESPONSES = Span.ofMillis(100);
 
   /**
-   * How long clients that go on sending are refused, where the platform does not kill the gateway.
+   * How long the gateway goes on rejecting new invocations after the final responses, if clients
+   * keep sending and the platform does not kill it.
    */
   static final Span LAST_CLIENTS = Span.ofMillis(5_000);
 
   /**
-   * After SIGTERM the protocol lets connections come for 0.4 s and requests on them for 0.2 s more.
+   * Covers late requests: after SIGTERM, the protocol allows new connections for 0.4 s and requests
+   * on them for another 0.2 s.
    */
   private static final Span LATE_REQUESTS = Span.ofMillis(750);
 
   /**
-   * SIGKILL comes no sooner after SIGTERM than the longest client timeout, of which at most this
-   * counts, ...
+   * SIGKILL follows SIGTERM no sooner than after the longest client timeout, capped at this value,
+   * plus {@link #KILL_GRACE}.
    */
   private static final Span MAX_CLIENT_TIMEOUT = Span.ofMillis(3_000);
 
-  /** ... and this much more. */
+  /** Time that the platform adds to the longest client timeout before it sends SIGKILL. */
   private static final Span KILL_GRACE = Span.ofMillis(700);
 
-  /** The times for a deployment's client timeouts. */
+  /** Computes the times from a deployment's client timeouts. */
   static ShutdownTimes of(StartupSettings settings) {
     Span longest = Span.ZERO;
     for (int i = 0; i < (int) settings.number("services.count"); i++) {
--- a/src/main/java/flintlead/platform/SignalHandler.java
+++ b/src/main/java/flintlead/platform/SignalHandler.java
@@ -4,15 +4,15 @@
 import java.util.function.Supplier;
 
 /**
- * Passes SIGHUP and SIGTERM on to the server, whenever they come: before it starts to listen, while
- * it does, or afterwards. May be used by any thread.
+ * Forwards SIGHUP and SIGTERM to the server, whether they arrive before, during or after its start.
+ * Thread-safe.
  */
 final class SignalHandler {
 
   private enum Phase {
-    /** Nothing has been accepted: SIGTERM ends the process at once. */
+    /** No client was accepted yet: SIGTERM ends the process immediately. */
     PREPARING,
-    /** It may be listening: signals wait until the server is there. */
+    /** The server may already be listening: signals are deferred until it has started. */
     STARTING,
     STARTED
   }
@@ -24,7 +24,7 @@
   private final Supplier<Moment> clock;
 
   /**
-   * A handler.
+   * Creates a handler.
    *
    * @param clock the monotonic clock of the server's event loop
    */
@@ -32,7 +32,7 @@
     this.clock = clock;
   }
 
-  /** SIGHUP. */
+  /** Handles SIGHUP. */
   synchronized void reload() {
     reloadRequested = true;
     if (phase == Phase.STARTED) {
@@ -40,7 +40,7 @@
     }
   }
 
-  /** SIGTERM. */
+  /** Handles SIGTERM. */
   synchronized void shutdown() {
     if (shutdownRequestedAt == null) {
       shutdownRequestedAt = clock.get();
@@ -49,17 +49,17 @@
       case PREPARING -> Runtime.getRuntime().halt(0);
       case STARTED -> server.shutdown(shutdownRequestedAt);
       default -> {
-        // Passed on once the server is there.
+        // Forwarded once the server has started.
       }
     }
   }
 
-  /** The server begins to listen. */
+  /** Called before the server starts to listen. */
   synchronized void starting() {
     phase = Phase.STARTING;
   }
 
-  /** The server is there; passes on what has come meanwhile. */
+  /** Called when the server has started; forwards the signals that arrived in the meantime. */
   synchronized void started(PlatformServer started) {
     server = started;
     phase = Phase.STARTED;
--- a/src/main/java/flintlead/platform/TrafficCounters.java
+++ b/src/main/java/flintlead/platform/TrafficCounters.java
@@ -14,7 +14,7 @@
 import org.slf4j.Logger;
 import org.slf4j.spi.LoggingEventBuilder;
 
-/** Counts what happened since the last summary, and logs it. Used on the event loop only. */
+/** Counts events since the last summary, and logs the summary. Used on the event loop only. */
 final class TrafficCounters implements HttpFront.Events {
 
   private static final Outcome[] OUTCOMES = Outcome.values();
@@ -52,7 +52,7 @@
     errored++;
   }
 
-  /** A client left before its response. */
+  /** A client disconnected before its response. */
   void clientDisconnected() {
     clientDisconnects++;
   }
@@ -62,7 +62,7 @@
     attempts[outcome.ordinal()]++;
   }
 
-  /** An invocation was rejected before the scheduler heard of it. */
+  /** An invocation was rejected before it was submitted to the scheduler. */
   void rejected(RejectReason reason) {
     rejections.merge(reason, 1, Integer::sum);
   }
@@ -79,13 +79,13 @@
     clientsLeft++;
   }
 
-  /** The gateway did not look at its sockets for that long. */
+  /** The process was stalled: it did not poll its sockets for that long. */
   void stoodStill(Span length) {
     standstills++;
     longestStandstill = Span.longer(longestStandstill, length);
   }
 
-  /** What is counted elsewhere. */
+  /** Counts and gauges that other components provide. */
   record State(
       int open,
       int hostConnections,
@@ -93,7 +93,10 @@
       Map<RefusalReason, Integer> refusals,
       InvariantMonitor invariants) {}
 
-  /** Logs {@code traffic_summary} where anything happened, and begins to count anew. */
+  /**
+   * Logs {@code traffic_summary} unless there were no invocations and no violations, and resets the
+   * counters.
+   */
   void logAndReset(Logger log, State state) {
     boolean quiet = submitted == 0 && rejections.isEmpty() && state.invariants.total() == 0;
     if (!quiet) {
--- a/src/main/java/flintlead/platform/WallClock.java
+++ b/src/main/java/flintlead/platform/WallClock.java
@@ -8,33 +8,33 @@
 import java.util.function.Supplier;
 
 /**
- * Converts times of the system's clock, as other machines write them, to the gateway's monotonic
- * clock. The system's clock may be stepped at any time, before or after a time was written with it:
- * every relation between the two clocks that was seen is kept, and of what a time may mean the
- * latest that is not in the future counts. So a host's start is never taken to be longer ago than
- * it is, which would end its slow start too soon.
+ * Converts wall-clock times, as written by other machines, to the gateway's monotonic clock. The
+ * wall clock may be stepped at any time, before or after a time was written with it. Therefore all
+ * recently observed offsets between the two clocks are kept, and a time is converted with the
+ * offset that gives the latest result that is not in the future. A host's start is thus never taken
+ * to be longer ago than it is, which would end its slow start too soon.
  */
 final class WallClock {
 
-  /** A smaller change is drift, or the time between two readings. */
+  /** Smaller changes of the offset are drift, or the time between reading the two clocks. */
   private static final Span STEP = Span.ofMillis(250);
 
-  /** Relations kept; the oldest goes. */
+  /** Maximum number of offsets kept; the oldest is dropped. */
   private static final int MAX_RELATIONS = 8;
 
-  /** A time so little in the future was written just now. */
+  /** Times that lie in the future by at most this much are accepted: they were written just now. */
   private static final Span TOLERANCE = Span.ofMillis(1_000);
 
   private final Supplier<Moment> monotonic;
   private final LongSupplier unixMillis;
 
-  /** What the system's clock showed when the monotonic clock began, in microseconds. */
+  /** Observed offsets: wall-clock time minus monotonic time, in microseconds. */
   private final List<Long> origins = new ArrayList<>();
 
   /**
-   * Creates a converter, and reads both clocks.
+   * Creates a converter and reads both clocks.
    *
-   * @param unixMillis the system's clock
+   * @param unixMillis the wall clock, in milliseconds since the Unix epoch
    */
   WallClock(Supplier<Moment> monotonic, LongSupplier unixMillis) {
     this.monotonic = monotonic;
@@ -42,7 +42,7 @@
     observe(monotonic.get());
   }
 
-  /** Notes how the clocks are related now. */
+  /** Records the present offset between the clocks. */
   private void observe(Moment now) {
     long origin = unixMillis.getAsLong() * 1_000 - now.micros();
     for (int i = 0; i < origins.size(); i++) {
@@ -57,7 +57,10 @@
     }
   }
 
-  /** The time on the monotonic clock; never more than a second after the present. */
+  /**
+   * Converts a time to the monotonic clock; the result is never more than a second after the
+   * present.
+   */
   Moment toMoment(long unixTimeMillis) {
     Moment now = monotonic.get();
     observe(now);
--- a/src/main/java/flintlead/platform/WarmUp.java
+++ b/src/main/java/flintlead/platform/WarmUp.java
@@ -14,49 +14,50 @@
 import org.slf4j.helpers.NOPLogger;
 
 /**
- * Runs a complete gateway on Unix sockets, with hosts that answer, refuse, break off and stay
- * silent. The build runs it so that Java can archive the classes that a gateway needs, and a
- * gateway runs it before it listens: on its part of a core it would else serve its first seconds'
- * invocations many times slower than later ones, and throttle most.
+ * Runs a complete gateway on Unix sockets, with emulated hosts that answer, refuse, abort
+ * connections or do not respond. The build runs it to archive the classes that a gateway needs, and
+ * a gateway runs it before it listens. Without it, a gateway on its share of a core would serve the
+ * invocations of its first seconds many times slower than later ones, and throttle most of them.
  */
 final class WarmUp {
 
   private static final int HOSTS = 3;
   private static final Span STANDSTILL = Span.ofMillis(120);
 
-  /** How long requests still come after the shutdown has begun. */
+  /** How long clients keep sending requests after the start of the shutdown. */
   private static final Span LAST_REQUESTS = Span.ofMillis(300);
 
   private WarmUp() {}
 
-  /** Sends invocations to the gateway that is warmed up. */
+  /** Sends invocations to the gateway during the warm-up. */
   interface Asker {
 
     /**
-     * Sends invocations until the moment.
+     * Sends invocations until the end time; blocks.
      *
-     * @param socket where the gateway listens
+     * @param socket the gateway's listening socket
      */
     void ask(Path socket, Moment end) throws IOException;
   }
 
   /**
-   * Runs the warm-up; blocks until it is over.
+   * Runs the warm-up; blocks until it has ended.
    *
-   * @param folder where the sockets are made; empty afterwards
-   * @param timeout how long it goes on at most
-   * @throws IOException if it can't be run; a gateway goes without then
+   * @param folder directory for the sockets, which are deleted afterwards
+   * @param timeout maximum duration of the invocations
+   * @throws IOException if the warm-up can't be run; a gateway then starts without it
    */
   static void play(Path folder, Span timeout) throws IOException {
     play(folder, timeout, WarmUpClients::invoke, NOPLogger.NOP_LOGGER, false);
   }
 
   /**
-   * Runs the warm-up from which classes are archived: also what is rare in service, such as clients
-   * that leave, a standstill and a shutdown. A class that is not in the archive is read, verified
-   * and linked when it is first needed, which holds a gateway up on its part of a core.
+   * Runs the warm-up from which the build archives classes. It includes events that are rare in
+   * service, such as disconnecting clients, a stall and a shutdown: a class that is not in the
+   * archive is read, verified and linked when it is first needed, which stalls a gateway on its
+   * share of a core.
    *
-   * @param log as in service
+   * @param log the log that a gateway uses in service
    */
   static void playForArchive(Path folder, Span timeout, Logger log) throws IOException {
     play(folder, timeout, WarmUpClients::invokeWithFaults, log, true);
@@ -112,7 +113,8 @@
         gateway.awaitTermination();
       }
     } finally {
-      // Also where the clients failed: its loop would run beside the real gateway's for good.
+      // Also if the clients failed: otherwise its event loop would keep running beside that of the
+      // real gateway.
       gateway.kill();
     }
   }
--- a/src/main/java/flintlead/platform/WarmUpClients.java
+++ b/src/main/java/flintlead/platform/WarmUpClients.java
@@ -12,7 +12,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The clients of a warm-up: a few connections, each with one invocation after another. */
+/**
+ * The clients of a warm-up: a few connections, each of which sends one invocation after another.
+ */
 final class WarmUpClients {
 
   private static final int CONNECTIONS = 6;
@@ -21,12 +23,12 @@
   private static final int RESPONSE_BUFFER = 1_024;
   private static final int FAULTY_CLIENTS = 8;
 
-  /** Numbers that {@link #invoke} does not reach. */
+  /** Number of the first invocation of a faulty client; {@link #invoke} does not reach it. */
   private static final int FIRST_FAULTY = 10_000;
 
   private WarmUpClients() {}
 
-  /** Sends invocations until the moment or until there were enough; blocks. */
+  /** Sends invocations until the end time or until {@link #MAX_INVOCATIONS} were sent; blocks. */
   static void invoke(Path socket, Moment end) throws IOException {
     List<SocketChannel> clients = new ArrayList<>();
     ByteBuffer response = ByteBuffer.allocate(RESPONSE_BUFFER);
@@ -53,8 +55,8 @@
   }
 
   /**
-   * As {@link #invoke}, but before it some clients leave, send ahead, send what is no request, and
-   * wait for what no host answers.
+   * Like {@link #invoke}, but before it some clients disconnect early, pipeline requests, send
+   * malformed input, or wait for responses that no host sends.
    */
   static void invokeWithFaults(Path socket, Moment end) throws IOException {
     for (int i = 0; i < FAULTY_CLIENTS; i++) {
--- a/src/main/java/flintlead/platform/WarmUpConfiguration.java
+++ b/src/main/java/flintlead/platform/WarmUpConfiguration.java
@@ -7,7 +7,7 @@
 
   private WarmUpConfiguration() {}
 
-  /** A host that takes part, as an endpoint of a host event. */
+  /** Returns the JSON of an active host, as an endpoint of a host event. */
   static String endpoint(String name, Path socket) {
     return "{\"name\":\""
         + name
@@ -17,7 +17,7 @@
   }
 
   /**
-   * The complete file.
+   * Returns the complete file.
    *
    * @param listen the gateway's socket
    * @param journal the journal service's socket
--- a/src/main/java/flintlead/platform/WarmUpEmulators.java
+++ b/src/main/java/flintlead/platform/WarmUpEmulators.java
@@ -9,7 +9,7 @@
 import io.netty.buffer.Unpooled;
 import java.nio.charset.StandardCharsets;
 
-/** The hosts and the journal service of a warm-up. */
+/** Emulated hosts and the emulated journal service of a warm-up. */
 final class WarmUpEmulators {
 
   private static final int MAX_LINE = 1_000;
@@ -47,7 +47,9 @@
     }
   }
 
-  /** A host: answers most invocations, some late; refuses a few and breaks some connections. */
+  /**
+   * A host: answers most invocations, some with a delay, refuses a few and aborts some connections.
+   */
   static final class Host extends LineConnection {
     private static final int FULL_EVERY = 23;
     private static final int BREAK_EVERY = 101;
@@ -85,7 +87,7 @@
     }
   }
 
-  /** The journal service: sends an event of one more host, which drains. */
+  /** The journal service: sends an event that adds a draining host. */
   static final class Journal extends LineConnection {
 
     private static final String EVENT =
