--- a/src/test/java/flintlead/platform/EventRaceTest.java
+++ b/src/test/java/flintlead/platform/EventRaceTest.java
@@ -27,8 +27,8 @@
 import org.slf4j.helpers.NOPLogger;
 
 /**
- * Races of two events, on real sockets: a fake host or journal holds the one back until the other
- * has happened.
+ * Races between two events, on real sockets: a fake host or journal delays one event until the
+ * other has happened.
  */
 @Timeout(60)
 class EventRaceTest {
@@ -49,8 +49,8 @@
   // ---- a client disconnects while its attempt is queued ----
 
   /**
-   * Regression: without cancellations at hosts, a queued attempt was sent after its client had
-   * disconnected.
+   * Regression: where hosts do not support cancellation, a queued attempt was sent after its client
+   * had disconnected.
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
@@ -66,7 +66,7 @@
     await()
         .until(
             () -> {
-              // Asked until the host is known: without one an invocation is throttled.
+              // Repeated until the host is known: without a host, an invocation is throttled.
               TestClient client =
                   fixture
                       .client()
@@ -84,8 +84,8 @@
   // ---- shutdown ----
 
   /**
-   * Regression: shutdown ended 4.25 s after SIGTERM whatever was open, and clients with longer
-   * timeouts lost their invocations.
+   * Regression: shutdown ended 4.25 s after SIGTERM even with open invocations, and clients with
+   * longer timeouts got no response.
    */
   @Test
   void openInvocationsAreAnsweredBeforeShutdownClosesTheirConnections() throws Exception {
@@ -153,7 +153,9 @@
     fixture.platform.awaitTermination();
   }
 
-  /** With client timeouts under 750 ms, SIGKILL may come 0.7 s and that timeout after SIGTERM. */
+  /**
+   * With client timeouts under 750 ms, SIGKILL may follow SIGTERM after 0.7 s plus that timeout.
+   */
   @Test
   void shutdownIsShorterWithShortClientTimeouts() throws Exception {
     fixture =
@@ -205,9 +207,11 @@
     loop.close();
   }
 
-  /** Regression, found by the soak: a gateway whose address was still taken ended with code 2. */
+  /**
+   * Regression found by the soak test: a gateway whose address was still in use exited with code 2.
+   */
   @Test
-  void aStartWaitsForItsAddress() throws Exception {
+  void aStartWaitsUntilItsAddressIsFree() throws Exception {
     fixture = new PlatformFixture(1, 256);
     try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
       fixture.withSetting("127.0.0.1:0", "127.0.0.1:" + taken.getLocalPort());
--- a/src/test/java/flintlead/platform/GatewayOfPlatform.java
+++ b/src/test/java/flintlead/platform/GatewayOfPlatform.java
@@ -2,15 +2,12 @@
 
 import flintlead.platform.journal.JsonReader;
 
-/**
- * What of the platform's gateway only its own package sees, for tests of the formats that it writes
- * and reads.
- */
+/** Gives tests of formats access to classes that are visible only in this package. */
 public final class GatewayOfPlatform {
 
   private GatewayOfPlatform() {}
 
-  /** What a gateway's file says, a line each. */
+  /** Parses a gateway's configuration file and returns its values, one per line. */
   public static String startFile(byte[] json) {
     PlatformConfig file = PlatformConfig.parse(new JsonReader(), json);
     return "name = "
@@ -30,13 +27,13 @@
         + "\n";
   }
 
-  /** What is wrong with a gateway's file; fails where nothing is. */
+  /** Returns the error message for an invalid configuration file; fails if the file is valid. */
   public static String fault(byte[] json) {
     try {
       PlatformConfig.parse(new JsonReader(), json);
     } catch (IllegalArgumentException e) {
       return e.getMessage();
     }
-    throw new AssertionError("nothing is wrong with it");
+    throw new AssertionError("the configuration file is valid");
   }
 }
--- a/src/test/java/flintlead/platform/HeldTask.java
+++ b/src/test/java/flintlead/platform/HeldTask.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** Something that a fake host puts off until the test lets it happen. */
+/** A task that a fake host holds back until the test releases it. */
 final class HeldTask {
 
   private volatile TestIo.Task task;
--- a/src/test/java/flintlead/platform/PlatformConfigTest.java
+++ b/src/test/java/flintlead/platform/PlatformConfigTest.java
@@ -14,9 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/**
- * Settings of other deployments: what a gateway does without, and what it refuses to start with.
- */
+/** Settings that a deployment may omit, and settings with which a gateway refuses to start. */
 @Timeout(60)
 class PlatformConfigTest {
 
@@ -46,7 +44,7 @@
   }
 
   @Test
-  void aNameMayHoldAComma() {
+  void aNameMayContainAComma() {
     StartupSettings settings =
         StartupSettings.fromNested(Map.of("dcs", List.of("perth, west", "east")));
     assertEquals(List.of("perth, west", "east"), settings.textList("dcs"));
--- a/src/test/java/flintlead/platform/PlatformFixture.java
+++ b/src/test/java/flintlead/platform/PlatformFixture.java
@@ -12,10 +12,10 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import org.slf4j.event.Level;
 
-/** A gateway of the platform on loopback, with fake hosts and a fake journal service. */
+/** A platform gateway on loopback, with fake hosts and a fake journal service. */
 final class PlatformFixture implements AutoCloseable {
 
-  /** The event that no test may bring about. */
+  /** The log event of an invariant violation, which no test may cause. */
   static final String VIOLATION = "invariant_violated";
 
   final List<FakeHost> hosts = new ArrayList<>();
@@ -23,7 +23,7 @@
   /** The lines that the gateway has logged. */
   final List<String> log = new CopyOnWriteArrayList<>();
 
-  /** The configuration file. */
+  /** The gateway's configuration file. */
   final Path file;
 
   final FakeJournal journal;
@@ -56,14 +56,14 @@
     return this;
   }
 
-  /** Replaces a setting in the file; before the start. */
+  /** Replaces a setting in the configuration file; to be called before the start. */
   PlatformFixture withSetting(String setting, String replacement) throws IOException {
     replacements.put(setting, replacement);
     configure(journal);
     return this;
   }
 
-  /** Writes the file, with that journal service. */
+  /** Writes the configuration file, with the address of that journal service. */
   void configure(FakeJournal at) throws IOException {
     String text =
         TEMPLATE
@@ -99,7 +99,7 @@
     return other;
   }
 
-  /** The journal service once more, on the same port. */
+  /** Starts the journal service again, on the same port. */
   FakeJournal restartedJournal() throws IOException {
     FakeJournal again = new FakeJournal(journal.events(), journal.port());
     others.add(again);
@@ -112,7 +112,7 @@
     return host;
   }
 
-  /** A host to which connections do not open until it accepts. */
+  /** Adds a host that accepts no connection until {@link FakeHost#accept} is called. */
   FakeHost notAcceptingHost(String name) throws IOException {
     FakeHost host = FakeHost.notAccepting(name);
     hosts.add(host);
@@ -123,7 +123,7 @@
     return new TestClient(port);
   }
 
-  /** A request that is valid in every way. */
+  /** Returns a valid request. */
   static String call(long id, String body) {
     return call(id, "X-Class: check\r\nX-Ttl-Ms: 1360\r\n", body);
   }
@@ -139,7 +139,7 @@
         + body;
   }
 
-  /** One invocation on a connection of its own. */
+  /** Sends one invocation on a new connection and returns its response. */
   Response invoke(long id, String body) throws IOException {
     try (TestClient client = client()) {
       return client.send(call(id, body)).response();
--- a/src/test/java/flintlead/platform/PlatformProcess.java
+++ b/src/test/java/flintlead/platform/PlatformProcess.java
@@ -12,13 +12,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 
-/** A gateway of the platform as a process of its own, with a limit of file descriptors. */
+/** A platform gateway as a separate process, with a limit on file descriptors. */
 final class PlatformProcess implements AutoCloseable {
 
   private static final String LISTENING = "INFO gateway_listening address=";
   private static final int READY_TIMEOUT_SECONDS = 30;
 
-  /** The lines that it has written. */
+  /** The lines that the process has written. */
   final List<String> log = new CopyOnWriteArrayList<>();
 
   private final Process process;
@@ -26,9 +26,9 @@
   /**
    * Starts the process.
    *
-   * @param fixture whose configuration file it reads, and whose port becomes its port
-   * @param folder its private folder
-   * @param descriptors the limit of file descriptors
+   * @param fixture provides the configuration file
+   * @param folder directory for the temporary files of the process
+   * @param descriptors limit on file descriptors
    */
   PlatformProcess(PlatformFixture fixture, Path folder, int descriptors) throws IOException {
     String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
@@ -58,7 +58,7 @@
         });
   }
 
-  /** Waits until it serves, and returns its port. */
+  /** Waits until the process listens, and returns its port. */
   int awaitPort() {
     await()
         .atMost(READY_TIMEOUT_SECONDS, TimeUnit.SECONDS)
@@ -67,19 +67,19 @@
     return Integer.parseInt(line.substring(line.lastIndexOf(':') + 1));
   }
 
-  /** Whether it has begun to listen. */
+  /** Whether the process has started to listen. */
   boolean hasListened() {
     return log.stream().anyMatch(line -> line.contains(LISTENING));
   }
 
-  /** Sends it a signal, named as {@code kill} names it. */
+  /** Sends the process a signal, named as for {@code kill}. */
   void signal(String name) throws IOException {
     if (!ChildProcess.signal(process, name)) {
       throw new IOException("kill -" + name + " failed");
     }
   }
 
-  /** Stops it; returns once none of its threads runs. */
+  /** Stops the process with SIGSTOP; returns once all of its threads are stopped. */
   void standStill() throws IOException {
     signal("STOP");
     await().until(this::isStopped);
@@ -102,7 +102,7 @@
     return process.isAlive();
   }
 
-  /** Waits for its end, and returns its exit code. */
+  /** Waits until the process has ended, and returns its exit code. */
   int waitFor() throws InterruptedException {
     return process.waitFor();
   }
--- a/src/test/java/flintlead/platform/PlatformTest.java
+++ b/src/test/java/flintlead/platform/PlatformTest.java
@@ -16,10 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/**
- * A complete gateway on loopback: invocations without faults, faults of clients, start and
- * shutdown.
- */
+/** A complete gateway on loopback: successful invocations, faulty clients, start and shutdown. */
 class PlatformTest {
 
   private PlatformFixture fixture;
@@ -35,7 +32,7 @@
     fixture = new PlatformFixture(hosts, 256).start();
   }
 
-  // ---- without faults ----
+  // ---- successful invocations ----
 
   @Test
   void anInvocationIsForwardedUnchanged() throws IOException {
@@ -95,11 +92,11 @@
     TestClient client = fixture.client().send(PlatformFixture.call(7, "x"));
     await().until(() -> fixture.hosts.get(0).invocations() == 1);
     client.close();
-    // Closing the connection gives up what is open on it, as never_mind does.
+    // Closing the connection cancels the attempt on it, as the command never_mind does.
     await().until(() -> fixture.hosts.get(0).commands.contains("closed"));
   }
 
-  // ---- bad clients ----
+  // ---- faulty clients ----
 
   @ParameterizedTest
   @ValueSource(
@@ -124,12 +121,12 @@
     assertEquals(
         200,
         client.send(PlatformFixture.call(2, "x")).response().status(),
-        "the connection goes on");
+        "the connection stays open");
     assertEquals(1, fixture.hosts.get(0).invocations());
   }
 
   @Test
-  void aDuplicateIdIsRefusedAndTheFirstInvocationGoesOn() throws IOException {
+  void aDuplicateIdIsRefusedAndTheFirstInvocationContinues() throws IOException {
     start(1);
     List<Runnable> answers = new ArrayList<>();
     fixture.hosts.get(0).script =
@@ -188,7 +185,7 @@
     }
     flood.send(many.toString());
     answers.get(1).run();
-    assertEquals(200, flood.response().status(), "what was accepted is answered");
+    assertEquals(200, flood.response().status(), "the accepted invocation gets its response");
     for (int i = 0; i < 16; i++) {
       assertEquals(503, flood.response().status());
     }
@@ -226,7 +223,7 @@
           }
           host.answer(from, words[1] + " 200 - ", body);
         };
-    assertEquals(200, fixture.invoke(3, "so that its function stands").status());
+    assertEquals(200, fixture.invoke(3, "loads the function").status());
     TestClient slow = fixture.client().send(PlatformFixture.call(1, "slow"));
     await().until(() -> fixture.hosts.get(0).invocations() == 2);
     fixture.platform.shutdown();
--- a/src/test/java/flintlead/platform/ProcessTest.java
+++ b/src/test/java/flintlead/platform/ProcessTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The gateway as a process of its own: real signals, and a real limit of file descriptors. */
+/** The gateway as a separate process: real signals, and a real limit on file descriptors. */
 @Timeout(90)
 class ProcessTest {
 
@@ -42,7 +42,7 @@
     process = new PlatformProcess(fixture, folder, DESCRIPTORS);
   }
 
-  /** Serves from when this returns. */
+  /** Launches the process and waits until it listens. */
   private void start() throws IOException {
     launch();
     fixture.port = process.awaitPort();
@@ -70,7 +70,7 @@
     assertEquals(0, process.waitFor());
   }
 
-  /** Nothing was accepted yet: the process ends at once and never listens. */
+  /** No client was accepted yet: the process ends immediately and never listens. */
   @Test
   void sigtermDuringWarmUpEndsTheProcessAtOnce() throws Exception {
     fixture = new PlatformFixture(1, DESCRIPTORS);
@@ -89,8 +89,8 @@
   }
 
   /**
-   * Silent clients use up all descriptors they can while the journal is down: journal and hosts
-   * must still get theirs.
+   * While the journal is down, silent clients open as many connections as the gateway accepts. File
+   * descriptors must remain for the journal and the hosts.
    */
   @Test
   void idleClientsLeaveDescriptorsForJournalAndHosts() throws Exception {
@@ -128,7 +128,9 @@
     assertEquals(List.of("flintlead: settings.tick must be a number above 0"), process.log);
   }
 
-  /** Regression: where its clients failed, the warm-up's gateway ran on beside the real one. */
+  /**
+   * Regression: if the clients of a warm-up failed, its gateway kept running beside the real one.
+   */
   @Test
   void aFailedWarmUpLeavesNoThreadBehind() {
     assertThrows(
@@ -137,7 +139,7 @@
             WarmUp.play(
                 folder,
                 Span.ofMillis(100),
-                (door, end) -> {
+                (socket, end) -> {
                   throw new IOException("refused");
                 }));
     await()
--- a/src/test/java/flintlead/platform/RateLimitedLogTest.java
+++ b/src/test/java/flintlead/platform/RateLimitedLogTest.java
@@ -16,7 +16,7 @@
 import org.slf4j.Logger;
 import org.slf4j.event.Level;
 
-/** What the gateway's own log writes, and how much of it. */
+/** Format and rate limit of the gateway's log. */
 class RateLimitedLogTest {
 
   private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void aValueCanNotBreakTheLineNorForgeAKey() {
+  void aValueCannotBreakTheLineOrForgeAKey() {
     log.atInfo()
         .addKeyValue("name", "a\nflintlead: ERROR forged")
         .addKeyValue("quoted", "x\" open=\"7")
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void librariesAreHeardFromWarnOnAndThisProgramFromInfoOn() {
+  void librariesLogFromWarnOnAndThisProgramFromInfoOn() {
     Logger library = provider.getLogger("io.netty.Thing");
     assertFalse(library.isInfoEnabled());
     assertTrue(library.isWarnEnabled());
@@ -79,14 +79,14 @@
   }
 
   @Test
-  void aFaultBringsItsStackTrace() {
+  void anExceptionIsLoggedWithItsStackTrace() {
     log.atError().addKeyValue("client", 1).setCause(new IllegalStateException("x")).log("event");
     assertEquals("flintlead: ERROR event client=1", lines().get(0));
     assertEquals("java.lang.IllegalStateException: x", lines().get(1));
   }
 
   @Test
-  void aFloodIsBoundedAndWhatWasSuppressedIsCounted() {
+  void aFloodIsLimitedAndSuppressedLinesAreCounted() {
     for (int i = 0; i < 10 * RateLimitedLog.BURST; i++) {
       log.atWarn().addKeyValue("number", i).log("event");
     }
@@ -103,21 +103,21 @@
   }
 
   @Test
-  void aLongValueIsCut() {
+  void aLongValueIsTruncated() {
     log.atInfo().addKeyValue("value", "x".repeat(100_000)).log("event");
     assertTrue(lines().get(0).length() < 2_000);
   }
 
-  /** Whoever reads standard error may stop reading: the gateway must go on. */
+  /** The reader of standard error may stop reading; the gateway must not block. */
   @Test
-  void aReaderThatStopsReadingHoldsNobodyUp() throws Exception {
+  void aReaderThatStopsReadingDoesNotBlockTheWriter() throws Exception {
     PipedInputStream unread = new PipedInputStream(16);
     PrintStream full = new PrintStream(new PipedOutputStream(unread), true, StandardCharsets.UTF_8);
     BackgroundWriter writer = new BackgroundWriter(full);
-    int kept = 0;
+    int queued = 0;
     for (int i = 0; i < 3_000; i++) {
-      kept += writer.write("a line that nobody reads") ? 1 : 0;
+      queued += writer.write("a line that nobody reads") ? 1 : 0;
     }
-    assertTrue(kept >= 1_024 && kept < 3_000, kept + " kept, the rest dropped");
+    assertTrue(queued >= 1_024 && queued < 3_000, queued + " lines queued, the rest dropped");
   }
 }
--- a/src/test/java/flintlead/platform/SignalArrivalTest.java
+++ b/src/test/java/flintlead/platform/SignalArrivalTest.java
@@ -15,20 +15,20 @@
   }
 
   @Test
-  void withoutStandstillItWasSentWhenItWasHandled() {
+  void withoutAStallASignalWasSentWhenItWasHandled() {
     assertEquals(at(700), arrival.earliest(at(700)));
   }
 
   @Test
-  void afterStandstillItMayHaveBeenSentSinceTheBeginning() {
+  void afterAStallASignalMayHaveBeenSentSinceItsStart() {
     arrival.stoodStill(at(2_000), Span.ofMillis(600));
     assertEquals(at(1_400), arrival.earliest(at(2_250)));
-    assertEquals(at(1_400), arrival.earliest(at(1_990)), "handled before it was noticed");
-    assertEquals(at(2_251), arrival.earliest(at(2_251)), "long after it");
+    assertEquals(at(1_400), arrival.earliest(at(1_990)), "handled before the stall was detected");
+    assertEquals(at(2_251), arrival.earliest(at(2_251)), "too long after the stall");
   }
 
   @Test
-  void standstillsCloseTogetherCountAsOne() {
+  void stallsInQuickSuccessionCountAsOne() {
     arrival.stoodStill(at(2_000), Span.ofMillis(600));
     arrival.stoodStill(at(2_300), Span.ofMillis(100));
     assertEquals(at(1_400), arrival.earliest(at(2_400)));
--- a/src/test/java/flintlead/platform/StandstillTest.java
+++ b/src/test/java/flintlead/platform/StandstillTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A gateway process that stands still (SIGSTOP, SIGCONT) while requests come and clients leave:
- * what it finds in its sockets afterwards is older than it looks.
+ * A gateway process that is stalled (SIGSTOP, SIGCONT) while requests arrive and clients
+ * disconnect: what it then reads from its sockets is older than it appears.
  */
 @Timeout(90)
 class StandstillTest {
@@ -28,16 +28,19 @@
   private static final int DESCRIPTORS = 512;
   private static final int CLIENTS = 60;
 
-  /** The kernel tries a connection again after a second when the first packet was dropped. */
+  /**
+   * Long enough for the kernel to retry a connection whose first packet was dropped, which it does
+   * after a second.
+   */
   private static final long CONNECT_RETRY_MILLIS = 1_500;
 
   private static final long STANDSTILL_MILLIS = 600;
   private static final long CLIENT_TIMEOUT_MILLIS = 1_360;
 
-  /** How much more than the client has left may be passed on to a host. */
+  /** By how much the timeout passed on to a host may exceed the client's remaining time. */
   private static final long DEADLINE_SLACK_MILLIS = 150;
 
-  /** How long SIGTERM waits for the process to run again. */
+  /** How long the process stays stopped after SIGTERM was sent. */
   private static final long SIGNAL_WAIT_MILLIS = 1_700;
 
   /** How long after SIGTERM the platform may kill the process. */
@@ -63,7 +66,7 @@
     fixture.close();
   }
 
-  /** One client that sends its request while the gateway stands still. */
+  /** One client that sends its request while the gateway is stalled. */
   private record Caller(long id, TestClient connection, long sentNanos) {}
 
   private List<Caller> sendDuringStandstill(List<TestClient> connections) throws IOException {
@@ -76,7 +79,7 @@
     return callers;
   }
 
-  /** The {@code limit} of each attempt that reached a host, by the invocation's id. */
+  /** The largest {@code limit} of the attempts that reached a host, by the invocation's id. */
   private Map<Long, Long> limitsByInvocation() {
     Map<Long, Long> limits = new HashMap<>();
     for (FakeHost host : fixture.hosts) {
@@ -91,7 +94,7 @@
     return limits;
   }
 
-  private static List<TestClient> everySecond(List<TestClient> all, int offset) {
+  private static List<TestClient> everyOther(List<TestClient> all, int offset) {
     List<TestClient> some = new ArrayList<>();
     for (int i = offset; i < all.size(); i += 2) {
       some.add(all.get(i));
@@ -100,45 +103,51 @@
   }
 
   @Test
-  void nothingIsForwardedForClientsThatLeftAndNoDeadlineIsExtended() throws Exception {
+  void nothingIsForwardedForDisconnectedClientsAndNoDeadlineIsExtended() throws Exception {
     List<TestClient> connections = new ArrayList<>();
     for (int i = 0; i < CLIENTS; i++) {
       connections.add(fixture.client());
     }
-    assertEquals(200, fixture.invoke(0x2000, "all connections before it are accepted").status());
+    assertEquals(200, fixture.invoke(0x2000, "all earlier connections are accepted").status());
     process.standStill();
     List<Caller> callers = sendDuringStandstill(connections);
-    for (TestClient leaving : everySecond(connections, 0)) {
+    for (TestClient leaving : everyOther(connections, 0)) {
       leaving.close();
     }
     LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(STANDSTILL_MILLIS));
     long continuedNanos = System.nanoTime();
     process.signal("CONT");
-    for (TestClient staying : everySecond(connections, 1)) {
+    for (TestClient staying : everyOther(connections, 1)) {
       assertEquals(200, staying.response().status());
     }
-    assertEquals(200, fixture.invoke(0x3000, "all that came before it was handled").status());
+    assertEquals(200, fixture.invoke(0x3000, "all earlier requests are handled").status());
     verify(callers, continuedNanos);
-    for (TestClient staying : everySecond(connections, 1)) {
+    for (TestClient staying : everyOther(connections, 1)) {
       staying.close();
     }
   }
 
   private void verify(List<Caller> callers, long continuedNanos) {
     Map<Long, Long> limits = limitsByInvocation();
-    List<String> broken = new ArrayList<>();
+    List<String> violations = new ArrayList<>();
     for (Caller caller : callers) {
       Long limit = limits.get(caller.id());
       boolean left = caller.id() % 2 == 1;
       if (left && limit != null) {
-        broken.add(caller.id() + " was forwarded after its client had left");
+        violations.add(caller.id() + " was forwarded after its client had disconnected");
       }
       long waited = TimeUnit.NANOSECONDS.toMillis(continuedNanos - caller.sentNanos());
       if (limit != null && limit > CLIENT_TIMEOUT_MILLIS - waited + DEADLINE_SLACK_MILLIS) {
-        broken.add(caller.id() + " got " + limit + " ms after it had waited " + waited + " ms");
+        violations.add(
+            caller.id()
+                + " was forwarded with a limit of "
+                + limit
+                + " ms after waiting for "
+                + waited
+                + " ms");
       }
     }
-    assertEquals(List.of(), broken, () -> process.log.toString());
+    assertEquals(List.of(), violations, () -> process.log.toString());
   }
 
   private static boolean isUnansweredFor(TestClient client) throws IOException {
@@ -149,9 +158,9 @@
     return true;
   }
 
-  /** A client that leaves while its request waits for a connection to a host. */
+  /** A client disconnects while its request waits for a connection to a host. */
   @Test
-  void aRequestThatWaitedForAConnectionIsNotForwardedAfterItsClientLeft() throws Exception {
+  void aRequestThatWaitedForAConnectionIsNotForwardedAfterItsClientDisconnected() throws Exception {
     FakeHost late = fixture.notAcceptingHost("s-late");
     String[] others =
         fixture.hosts.stream().limit(3).map(host -> host.endpoint("left")).toArray(String[]::new);
@@ -159,7 +168,7 @@
     fixture.journal.add(true, late.endpoint("active"));
     TestClient client = fixture.client();
     int[] id = {0x4000};
-    // An answer at once says that the list has not been applied yet.
+    // An immediate response means that the host list has not been applied yet.
     await().until(() -> isUnansweredFor(client.send(PlatformFixture.call(++id[0], "x"))));
     process.standStill();
     client.close();
@@ -168,12 +177,12 @@
     process.signal("CONT");
     await().until(() -> fixture.invoke(++id[0], "y").status() == 200);
     long waiting = late.bodies.stream().filter("x"::equals).count();
-    assertEquals(0, waiting, "forwarded after its client had left");
+    assertEquals(0, waiting, "forwarded after its client had disconnected");
   }
 
   /**
-   * SIGTERM that comes while the process stands still: the platform counts from when it was sent,
-   * and kills the process before a request that came late in the shutdown would time out.
+   * SIGTERM arrives while the process is stalled. The platform counts from when it sent the signal,
+   * and kills the process before a request that arrives late in the shutdown would time out.
    */
   @Test
   void aShutdownCountsFromWhenItsSignalMayHaveBeenSent() throws Exception {
--- a/src/test/java/flintlead/platform/TestClient.java
+++ b/src/test/java/flintlead/platform/TestClient.java
@@ -11,12 +11,12 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** A client's connection to the gateway. */
+/** A client connection to the gateway. */
 final class TestClient implements AutoCloseable {
 
   private static final int READ_TIMEOUT_MILLIS = 8_000;
 
-  /** A response; status 0 where the connection ended instead. */
+  /** A response; status 0 if the connection ended instead. */
   record Response(int status, Map<String, String> headers, String body) {
     private static final Response NONE = new Response(0, Map.of(), "");
   }
@@ -35,7 +35,7 @@
     return this;
   }
 
-  /** Whether anything comes back in that time, or the connection ends. */
+  /** Whether a response or the end of the connection arrives within that time. */
   boolean answeredWithin(int millis) throws IOException {
     socket.setSoTimeout(millis);
     try {
@@ -50,7 +50,7 @@
     }
   }
 
-  /** The next response. */
+  /** Reads the next response. */
   Response response() throws IOException {
     try {
       String line = TestIo.readLine(in);
--- a/src/test/java/flintlead/platform/TestIo.java
+++ b/src/test/java/flintlead/platform/TestIo.java
@@ -8,13 +8,14 @@
 
   private TestIo() {}
 
-  /** A piece of blocking I/O. */
+  /** A task that performs blocking I/O. */
   interface Task {
     void run() throws IOException;
   }
 
   /**
-   * Runs the task on a thread of its own; an I/O error ends it quietly, as the other end is gone.
+   * Runs the task on a separate thread. An I/O error ends it silently, because the peer has closed
+   * the connection or the test has ended.
    */
   static void inBackground(Task task) {
     Thread thread =
@@ -23,14 +24,14 @@
               try {
                 task.run();
               } catch (IOException e) {
-                // The other end has gone, or the test is over.
+                // The peer has closed the connection, or the test has ended.
               }
             });
     thread.setDaemon(true);
     thread.start();
   }
 
-  /** The next line without its end; null at the end of the input. */
+  /** Reads the next line, without its line break; returns null at the end of the input. */
   static String readLine(InputStream in) throws IOException {
     StringBuilder line = new StringBuilder();
     for (int c = in.read(); c != '\n'; c = in.read()) {
--- a/src/test/java/flintlead/platform/WallClockTest.java
+++ b/src/test/java/flintlead/platform/WallClockTest.java
@@ -5,7 +5,7 @@
 import flintlead.time.Moment;
 import org.junit.jupiter.api.Test;
 
-/** Times of a wall clock that is stepped. */
+/** Conversion of times while the wall clock is stepped. */
 class WallClockTest {
 
   private static final long HOUR_MILLIS = 3_600_000;
@@ -25,7 +25,7 @@
   }
 
   @Test
-  void aTimeIsAsLongAgoAsTheSystemsClockSays() {
+  void aTimeIsAsLongAgoAsTheWallClockShows() {
     pass(2_000);
     assertEquals(500, agoMillis(unixMillis - 500));
     assertEquals(0, agoMillis(unixMillis));
@@ -37,20 +37,20 @@
     long startedAt = unixMillis - 500;
     unixMillis += HOUR_MILLIS;
     assertEquals(500, agoMillis(startedAt));
-    assertEquals(300, agoMillis(unixMillis - 300), "written after it");
+    assertEquals(300, agoMillis(unixMillis - 300), "written after the step");
   }
 
   @Test
-  void afterAStepBackATimeWrittenBeforeItIsNotInAnHour() {
+  void afterAStepBackATimeWrittenBeforeItIsNotAnHourAhead() {
     pass(2_000);
     long startedAt = unixMillis - 500;
     unixMillis -= HOUR_MILLIS;
     assertEquals(500, agoMillis(startedAt));
-    assertEquals(300, agoMillis(unixMillis - 300), "written after it");
+    assertEquals(300, agoMillis(unixMillis - 300), "written after the step");
   }
 
   @Test
-  void aTimeThatNoClockExplainsIsNow() {
+  void aTimeThatEveryOffsetPutsInTheFutureIsNow() {
     assertEquals(0, agoMillis(unixMillis + HOUR_MILLIS));
   }
 
