--- a/src/main/java/flintlead/platform/downstream/ClientConnection.java
+++ b/src/main/java/flintlead/platform/downstream/ClientConnection.java
@@ -26,7 +26,7 @@
   private static final int CONFLICT = 409;
   private static final int INTERNAL_ERROR = 500;
   private static final int UNAVAILABLE = 503;
-  private static final int NONE = 0;
+  private static final int NO_STATUS = 0;
 
   private static final int MAX_REQUEST_BODY = 16 * 1024;
 
@@ -48,7 +48,7 @@
   private ClientState state = ClientState.READY;
 
   /** Id of the invocation in flight; valid only in state {@link ClientState#BUSY}. */
-  private long invocation;
+  private long invocationId;
 
   /** Whether the most recent request allows the connection to be kept open. */
   private boolean keepAlive;
@@ -62,7 +62,7 @@
   private boolean inputEnded;
 
   /** HTTP status with which malformed input received while busy is refused; 0 if there was none. */
-  private int rejectedStatus = NONE;
+  private int rejectedStatus = NO_STATUS;
 
   ClientConnection(HttpFront front, Stream stream) {
     this.front = front;
@@ -93,7 +93,7 @@
 
   @Override
   public void closed(String error) {
-    if (end()) {
+    if (releaseResources()) {
       front.clientLeft();
     }
     front.streamClosed();
@@ -135,7 +135,7 @@
       return;
     }
     become(ClientState.BUSY);
-    invocation = request.id();
+    invocationId = request.id();
     front.limiter().setBusy(tracked, true, front.now());
     front.handler().submit(request, body, stream.earliestArrival(), this);
   }
@@ -190,16 +190,16 @@
       pipelined--;
       respondUnavailable(front.handler().retryAfter().micros() / 1000);
     }
-    if (rejectedStatus != NONE && !isClosed()) {
+    if (rejectedStatus != NO_STATUS && !isClosed()) {
       int status = rejectedStatus;
-      rejectedStatus = NONE;
+      rejectedStatus = NO_STATUS;
       respond(status);
     }
   }
 
   /** Whether requests or malformed input received while busy have not been refused yet. */
-  private boolean owesMoreResponses() {
-    return pipelined > 0 || rejectedStatus != NONE;
+  private boolean hasPendingRefusals() {
+    return pipelined > 0 || rejectedStatus != NO_STATUS;
   }
 
   private void respond(int status) {
@@ -219,10 +219,10 @@
       return;
     }
     timeouts.responseWritten(front.now());
-    boolean last = !owesMoreResponses() && (!keepAlive || inputEnded || front.isDraining());
+    boolean last = !hasPendingRefusals() && (!keepAlive || inputEnded || front.isDraining());
     stream.write(codec.encodeResponse(status, body, last, header, value));
-    if (last && end()) {
-      front.closed(CloseCause.LAST_RESPONSE);
+    if (last && releaseResources()) {
+      front.reportClosed(CloseCause.LAST_RESPONSE);
       stream.closeGracefully();
     }
   }
@@ -240,7 +240,7 @@
         keepAlive = false;
         respond(REQUEST_TIMEOUT);
       }
-      case IDLE -> closeUnlessUsed(CloseCause.IDLE);
+      case IDLE -> closeIfIdle(CloseCause.IDLE);
       default -> {
         // Nothing is due.
       }
@@ -261,7 +261,7 @@
    * Whether the connection has waited for a request for longer than the span, so that none is
    * assumed to be in transit.
    */
-  boolean isUnusedFor(Span span, Moment now) {
+  boolean isIdleFor(Span span, Moment now) {
     return state == ClientState.READY && now.since(timeouts.waitingSince()).isLongerThan(span);
   }
 
@@ -271,7 +271,7 @@
    *
    * @return whether this call closed the connection
    */
-  boolean closeUnlessUsed(CloseCause cause) {
+  boolean closeIfIdle(CloseCause cause) {
     if (state != ClientState.READY || stream.pendingBytes() > 0) {
       return false;
     }
@@ -279,7 +279,7 @@
     if (seen) {
       close(cause);
     } else {
-      front.polls().afterNextPoll(() -> closeUnlessUsed(cause));
+      front.polls().afterNextPoll(() -> closeIfIdle(cause));
     }
     return seen;
   }
@@ -287,23 +287,23 @@
   /** Closes the connection after all written bytes have been handed to the kernel. */
   void close(CloseCause cause) {
     reportUnanswered(cause);
-    if (end()) {
-      front.closed(cause);
+    if (releaseResources()) {
+      front.reportClosed(cause);
       stream.close();
     }
   }
 
   private void abort(CloseCause cause) {
     reportUnanswered(cause);
-    if (end()) {
-      front.closed(cause);
+    if (releaseResources()) {
+      front.reportClosed(cause);
       stream.abort();
     }
   }
 
   private void reportUnanswered(CloseCause cause) {
     if (state == ClientState.BUSY && !cause.mayLeaveUnanswered()) {
-      front.handler().closedUnanswered(invocation, cause);
+      front.handler().closedUnanswered(invocationId, cause);
     }
   }
 
@@ -311,7 +311,7 @@
    * Marks the connection as closed and releases its resources; returns false if it was closed
    * before.
    */
-  private boolean end() {
+  private boolean releaseResources() {
     if (isClosed()) {
       return false;
     }
@@ -320,7 +320,7 @@
     front.limiter().remove(tracked);
     front.connectionClosed(this);
     if (busy) {
-      front.handler().clientDisconnected(invocation);
+      front.handler().clientDisconnected(invocationId);
     }
     codec.release();
     return true;
--- a/src/main/java/flintlead/platform/downstream/HttpFront.java
+++ b/src/main/java/flintlead/platform/downstream/HttpFront.java
@@ -134,8 +134,8 @@
     Moment now = loop.now();
     openStreams++;
     ConnectionLimiter<ClientConnection>.TrackedConnection idle = limiter.evictionCandidate(now);
-    boolean roomMade = idle == null || idle.connection().closeUnlessUsed(CloseCause.EVICTED);
-    if (!roomMade || !limiter.canAccept(now)) {
+    boolean hasRoom = idle == null || idle.connection().closeIfIdle(CloseCause.EVICTED);
+    if (!hasRoom || !limiter.canAccept(now)) {
       return refuse(stream);
     }
     ClientConnection connection = new ClientConnection(this, stream);
@@ -144,7 +144,7 @@
   }
 
   private StreamListener refuse(Stream stream) {
-    closed(CloseCause.REFUSED);
+    reportClosed(CloseCause.REFUSED);
     RefusedConnection connection = new RefusedConnection(this, stream);
     refused.add(connection);
     if (refused.size() > MAX_REFUSED) {
@@ -184,8 +184,8 @@
     IsolatedLoop.forEach(
         connections,
         connection -> {
-          if (connection.isUnusedFor(MIN_IDLE_BEFORE_CLOSE, now)) {
-            connection.closeUnlessUsed(CloseCause.SHUTDOWN);
+          if (connection.isIdleFor(MIN_IDLE_BEFORE_CLOSE, now)) {
+            connection.closeIfIdle(CloseCause.SHUTDOWN);
           }
         },
         this::logFault);
@@ -257,7 +257,7 @@
   }
 
   /** Reports that the gateway closed or refused a connection. */
-  void closed(CloseCause cause) {
+  void reportClosed(CloseCause cause) {
     events.connectionClosed(cause);
   }
 
