--- a/src/main/java/flintlead/platform/PlatformGateway.java
+++ b/src/main/java/flintlead/platform/PlatformGateway.java
@@ -97,9 +97,9 @@
   }
 
   /** Records that the process was stalled: it did not poll its sockets for that long. */
-  void stoodStill(Span length) {
+  void recordStall(Span length) {
     guard.stoodStill(loop.polls().readClock());
-    counters.stoodStill(length);
+    counters.recordStall(length);
     log.atInfo()
         .addKeyValue("length_ms", length.micros() / 1000)
         .addKeyValue("open", openCount())
--- a/src/main/java/flintlead/platform/PlatformServer.java
+++ b/src/main/java/flintlead/platform/PlatformServer.java
@@ -140,7 +140,7 @@
     front =
         new HttpFront(
             loop, loop, gateway.invocations(), parser, maxClients, gateway.counters(), log);
-    loop.onStandstill(this::stoodStill);
+    loop.onStandstill(this::recordStall);
   }
 
   private static LeaseTerms leaseTerms(StartupSettings settings) {
@@ -233,9 +233,9 @@
 
   // ---- shutdown ----
 
-  private void stoodStill(Span length) {
-    signalArrival.stoodStill(loop.polls().readClock(), length);
-    gateway.stoodStill(length);
+  private void recordStall(Span length) {
+    signalArrival.recordStall(loop.polls().readClock(), length);
+    gateway.recordStall(length);
   }
 
   /** Starts the shutdown, as if its signal were handled now. */
@@ -263,7 +263,7 @@
       return;
     }
     shuttingDown = true;
-    Moment abandonAt = signalArrival.earliest(signalled).plus(shutdownTimes.abandonAfter());
+    Moment abandonAt = signalArrival.earliestSentAt(signalled).plus(shutdownTimes.abandonAfter());
     Moment drainAt = loop.now().plus(shutdownTimes.drainAfter());
     loop.scheduleAt(Moment.earlier(drainAt, abandonAt), this::drain);
     loop.scheduleAt(abandonAt, this::abandon);
@@ -325,7 +325,7 @@
   }
 
   /** Blocks the event loop for that long, to exercise a stall during warm-up. */
-  void standStill(Span length) {
+  void stall(Span length) {
     loop.execute(() -> LockSupport.parkNanos(TimeUnit.MICROSECONDS.toNanos(length.micros())));
   }
 
--- a/src/main/java/flintlead/platform/SignalArrival.java
+++ b/src/main/java/flintlead/platform/SignalArrival.java
@@ -13,8 +13,8 @@
   /** Maximum time from the end of a stall until a signal sent during it has been handled. */
   private static final Span DELIVERY = Span.ofMillis(250);
 
-  private Moment standstillBegan;
-  private Moment standstillEnded;
+  private Moment stallStartedAt;
+  private Moment stallEndedAt;
 
   /**
    * Records that the process was stalled.
@@ -22,23 +22,23 @@
    * @param ended when it ran again
    * @param length how long it was stalled
    */
-  void stoodStill(Moment ended, Span length) {
-    Moment began = ended.minus(length);
-    if (!isRecent(began)) {
-      standstillBegan = began;
+  void recordStall(Moment ended, Span length) {
+    Moment startedAt = ended.minus(length);
+    if (!isRecent(startedAt)) {
+      stallStartedAt = startedAt;
     }
-    standstillEnded = ended;
+    stallEndedAt = ended;
   }
 
   /**
    * Returns the earliest time at which a signal that was handled at this time may have been sent.
    */
-  Moment earliest(Moment handled) {
-    return isRecent(handled) ? Moment.earlier(standstillBegan, handled) : handled;
+  Moment earliestSentAt(Moment handled) {
+    return isRecent(handled) ? Moment.earlier(stallStartedAt, handled) : handled;
   }
 
   /** Whether a signal handled at this time may have been sent during the last stall. */
   private boolean isRecent(Moment time) {
-    return standstillEnded != null && !time.since(standstillEnded).isLongerThan(DELIVERY);
+    return stallEndedAt != null && !time.since(stallEndedAt).isLongerThan(DELIVERY);
   }
 }
--- a/src/main/java/flintlead/platform/TrafficCounters.java
+++ b/src/main/java/flintlead/platform/TrafficCounters.java
@@ -34,8 +34,8 @@
   private final Map<RejectReason, Integer> rejections = new EnumMap<>(RejectReason.class);
   private final Map<CloseCause, Integer> closes = new EnumMap<>(CloseCause.class);
   private int clientsLeft;
-  private int standstills;
-  private Span longestStandstill = Span.ZERO;
+  private int stalls;
+  private Span longestStall = Span.ZERO;
 
   /** An invocation was accepted. */
   void submitted() {
@@ -80,9 +80,9 @@
   }
 
   /** The process was stalled: it did not poll its sockets for that long. */
-  void stoodStill(Span length) {
-    standstills++;
-    longestStandstill = Span.longer(longestStandstill, length);
+  void recordStall(Span length) {
+    stalls++;
+    longestStall = Span.longer(longestStall, length);
   }
 
   /** Counts and gauges that other components provide. */
@@ -110,8 +110,8 @@
     clientsLeft = 0;
     rejections.clear();
     closes.clear();
-    standstills = 0;
-    longestStandstill = Span.ZERO;
+    stalls = 0;
+    longestStall = Span.ZERO;
   }
 
   private void log(Logger log, State state) {
@@ -123,8 +123,8 @@
             .addKeyValue("client_disconnects", clientDisconnects)
             .addKeyValue("open", state.open)
             .addKeyValue("host_connections", state.hostConnections)
-            .addKeyValue("max_loop_delay_ms", longestStandstill.micros() / 1000);
-    event = addIfAny(event, "standstills", standstills);
+            .addKeyValue("max_loop_delay_ms", longestStall.micros() / 1000);
+    event = addIfAny(event, "standstills", stalls);
     event = addIfAny(event, "deferred_sends", state.deferredSends);
     event = addIfAny(event, "clients_left", clientsLeft);
     for (Map.Entry<RejectReason, Integer> rejection : rejections.entrySet()) {
--- a/src/main/java/flintlead/platform/WarmUp.java
+++ b/src/main/java/flintlead/platform/WarmUp.java
@@ -22,7 +22,7 @@
 final class WarmUp {
 
   private static final int HOSTS = 3;
-  private static final Span STANDSTILL = Span.ofMillis(120);
+  private static final Span STALL = Span.ofMillis(120);
 
   /** How long clients keep sending requests after the start of the shutdown. */
   private static final Span LAST_REQUESTS = Span.ofMillis(300);
@@ -107,7 +107,7 @@
       clients.ask(listen, NettyEventLoop.clock().plus(timeout));
       gateway.reload();
       if (shutDown) {
-        gateway.standStill(STANDSTILL);
+        gateway.stall(STALL);
         gateway.shutdown();
         clients.ask(listen, NettyEventLoop.clock().plus(LAST_REQUESTS));
         gateway.awaitTermination();
--- a/src/test/java/flintlead/platform/PlatformProcess.java
+++ b/src/test/java/flintlead/platform/PlatformProcess.java
@@ -80,7 +80,7 @@
   }
 
   /** Stops the process with SIGSTOP; returns once all of its threads are stopped. */
-  void standStill() throws IOException {
+  void suspend() throws IOException {
     signal("STOP");
     await().until(this::isStopped);
   }
--- a/src/test/java/flintlead/platform/SignalArrivalTest.java
+++ b/src/test/java/flintlead/platform/SignalArrivalTest.java
@@ -16,23 +16,23 @@
 
   @Test
   void withoutAStallASignalWasSentWhenItWasHandled() {
-    assertEquals(at(700), arrival.earliest(at(700)));
+    assertEquals(at(700), arrival.earliestSentAt(at(700)));
   }
 
   @Test
   void afterAStallASignalMayHaveBeenSentSinceItsStart() {
-    arrival.stoodStill(at(2_000), Span.ofMillis(600));
-    assertEquals(at(1_400), arrival.earliest(at(2_250)));
-    assertEquals(at(1_400), arrival.earliest(at(1_990)), "handled before the stall was detected");
-    assertEquals(at(2_251), arrival.earliest(at(2_251)), "too long after the stall");
+    arrival.recordStall(at(2_000), Span.ofMillis(600));
+    assertEquals(at(1_400), arrival.earliestSentAt(at(2_250)));
+    assertEquals(at(1_400), arrival.earliestSentAt(at(1_990)), "handled before the stall was detected");
+    assertEquals(at(2_251), arrival.earliestSentAt(at(2_251)), "too long after the stall");
   }
 
   @Test
   void stallsInQuickSuccessionCountAsOne() {
-    arrival.stoodStill(at(2_000), Span.ofMillis(600));
-    arrival.stoodStill(at(2_300), Span.ofMillis(100));
-    assertEquals(at(1_400), arrival.earliest(at(2_400)));
-    arrival.stoodStill(at(4_000), Span.ofMillis(200));
-    assertEquals(at(3_800), arrival.earliest(at(4_100)));
+    arrival.recordStall(at(2_000), Span.ofMillis(600));
+    arrival.recordStall(at(2_300), Span.ofMillis(100));
+    assertEquals(at(1_400), arrival.earliestSentAt(at(2_400)));
+    arrival.recordStall(at(4_000), Span.ofMillis(200));
+    assertEquals(at(3_800), arrival.earliestSentAt(at(4_100)));
   }
 }
--- a/src/test/java/flintlead/platform/StandstillTest.java
+++ b/src/test/java/flintlead/platform/StandstillTest.java
@@ -34,7 +34,7 @@
    */
   private static final long CONNECT_RETRY_MILLIS = 1_500;
 
-  private static final long STANDSTILL_MILLIS = 600;
+  private static final long STALL_MILLIS = 600;
   private static final long CLIENT_TIMEOUT_MILLIS = 1_360;
 
   /** By how much the timeout passed on to a host may exceed the client's remaining time. */
@@ -69,7 +69,7 @@
   /** One client that sends its request while the gateway is stalled. */
   private record Caller(long id, TestClient connection, long sentNanos) {}
 
-  private List<Caller> sendDuringStandstill(List<TestClient> connections) throws IOException {
+  private List<Caller> sendDuringStall(List<TestClient> connections) throws IOException {
     List<Caller> callers = new ArrayList<>();
     for (TestClient connection : connections) {
       long id = callers.size() + 1L;
@@ -109,12 +109,12 @@
       connections.add(fixture.client());
     }
     assertEquals(200, fixture.invoke(0x2000, "all earlier connections are accepted").status());
-    process.standStill();
-    List<Caller> callers = sendDuringStandstill(connections);
+    process.suspend();
+    List<Caller> callers = sendDuringStall(connections);
     for (TestClient leaving : everyOther(connections, 0)) {
       leaving.close();
     }
-    LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(STANDSTILL_MILLIS));
+    LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(STALL_MILLIS));
     long continuedNanos = System.nanoTime();
     process.signal("CONT");
     for (TestClient staying : everyOther(connections, 1)) {
@@ -170,7 +170,7 @@
     int[] id = {0x4000};
     // An immediate response means that the host list has not been applied yet.
     await().until(() -> isUnansweredFor(client.send(PlatformFixture.call(++id[0], "x"))));
-    process.standStill();
+    process.suspend();
     client.close();
     late.accept();
     LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(CONNECT_RETRY_MILLIS));
@@ -190,7 +190,7 @@
       host.script = (self, from, words, body) -> {};
     }
     TestClient late = fixture.client();
-    process.standStill();
+    process.suspend();
     final long sentNanos = System.nanoTime();
     process.signal("TERM");
     LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(SIGNAL_WAIT_MILLIS));
