--- a/src/main/java/flintlead/platform/InvocationRegistry.java
+++ b/src/main/java/flintlead/platform/InvocationRegistry.java
@@ -134,7 +134,7 @@
     invocation.withdrawQueuedAttempts();
     if (invocation.isFinished()) {
       invocations.remove(invocation.id());
-      logUnlessPlain(invocation);
+      logUnlessRoutine(invocation);
     }
   }
 
@@ -142,8 +142,8 @@
    * Logs the invocation at DEBUG, unless its only attempt succeeded: such invocations are of no
    * interest for diagnosis.
    */
-  private void logUnlessPlain(PendingInvocation invocation) {
-    if (log.isDebugEnabled() && !invocation.succeededAtOnce()) {
+  private void logUnlessRoutine(PendingInvocation invocation) {
+    if (log.isDebugEnabled() && !invocation.succeededWithOneAttempt()) {
       log.atDebug()
           .addKeyValue("id", invocation.idText())
           .addKeyValue("phase", invocation.record().phase())
--- a/src/main/java/flintlead/platform/PendingInvocation.java
+++ b/src/main/java/flintlead/platform/PendingInvocation.java
@@ -118,7 +118,7 @@
   }
 
   /** Whether the invocation had a single attempt, which succeeded. */
-  boolean succeededAtOnce() {
+  boolean succeededWithOneAttempt() {
     return attempts.size() == 1 && attempts.get(0).succeeded();
   }
 
