--- a/src/main/java/flintlead/platform/Main.java
+++ b/src/main/java/flintlead/platform/Main.java
@@ -97,7 +97,7 @@
   private static int runWarmUpOnly(Path folder) {
     Logger log = createLog();
     try {
-      WarmUp.playForArchive(folder, ARCHIVE_WARM_UP, log);
+      WarmUp.runForArchive(folder, ARCHIVE_WARM_UP, log);
       // Logged here also so that the archive contains the classes for an event with keys.
       log.atInfo().addKeyValue("folder", folder).log("warm_up_completed");
       return EXIT_OK;
@@ -109,7 +109,7 @@
 
   private static void warmUp(Path folder, Logger log) {
     try {
-      WarmUp.play(folder, WARM_UP);
+      WarmUp.run(folder, WARM_UP);
     } catch (IOException | RuntimeException e) {
       log.atWarn().addKeyValue("error", e).log("warm_up_failed");
     }
--- a/src/main/java/flintlead/platform/WarmUp.java
+++ b/src/main/java/flintlead/platform/WarmUp.java
@@ -25,19 +25,19 @@
   private static final Span STALL = Span.ofMillis(120);
 
   /** How long clients keep sending requests after the start of the shutdown. */
-  private static final Span LAST_REQUESTS = Span.ofMillis(300);
+  private static final Span LATE_REQUEST_PERIOD = Span.ofMillis(300);
 
   private WarmUp() {}
 
   /** Sends invocations to the gateway during the warm-up. */
-  interface Asker {
+  interface InvocationSender {
 
     /**
      * Sends invocations until the end time; blocks.
      *
      * @param socket the gateway's listening socket
      */
-    void ask(Path socket, Moment end) throws IOException;
+    void send(Path socket, Moment end) throws IOException;
   }
 
   /**
@@ -47,8 +47,8 @@
    * @param timeout maximum duration of the invocations
    * @throws IOException if the warm-up can't be run; a gateway then starts without it
    */
-  static void play(Path folder, Span timeout) throws IOException {
-    play(folder, timeout, WarmUpClients::invoke, NOPLogger.NOP_LOGGER, false);
+  static void run(Path folder, Span timeout) throws IOException {
+    run(folder, timeout, WarmUpClients::invoke, NOPLogger.NOP_LOGGER, false);
   }
 
   /**
@@ -59,15 +59,15 @@
    *
    * @param log the log that a gateway uses in service
    */
-  static void playForArchive(Path folder, Span timeout, Logger log) throws IOException {
-    play(folder, timeout, WarmUpClients::invokeWithFaults, log, true);
+  static void runForArchive(Path folder, Span timeout, Logger log) throws IOException {
+    run(folder, timeout, WarmUpClients::invokeWithFaults, log, true);
   }
 
-  static void play(Path folder, Span timeout, Asker clients) throws IOException {
-    play(folder, timeout, clients, NOPLogger.NOP_LOGGER, false);
+  static void run(Path folder, Span timeout, InvocationSender clients) throws IOException {
+    run(folder, timeout, clients, NOPLogger.NOP_LOGGER, false);
   }
 
-  private static void play(Path folder, Span timeout, Asker clients, Logger log, boolean shutDown)
+  private static void run(Path folder, Span timeout, InvocationSender clients, Logger log, boolean shutDown)
       throws IOException {
     Path own = Files.createTempDirectory(folder, "r");
     NettyEventLoop emulators = new NettyEventLoop("warm-up");
@@ -100,16 +100,16 @@
   }
 
   private static void runGateway(
-      PlatformServer gateway, Path listen, Span timeout, Asker clients, boolean shutDown)
+      PlatformServer gateway, Path listen, Span timeout, InvocationSender clients, boolean shutDown)
       throws IOException {
     try {
       gateway.start();
-      clients.ask(listen, NettyEventLoop.clock().plus(timeout));
+      clients.send(listen, NettyEventLoop.clock().plus(timeout));
       gateway.reload();
       if (shutDown) {
         gateway.stall(STALL);
         gateway.shutdown();
-        clients.ask(listen, NettyEventLoop.clock().plus(LAST_REQUESTS));
+        clients.send(listen, NettyEventLoop.clock().plus(LATE_REQUEST_PERIOD));
         gateway.awaitTermination();
       }
     } finally {
--- a/src/main/java/flintlead/platform/WarmUpClients.java
+++ b/src/main/java/flintlead/platform/WarmUpClients.java
@@ -20,18 +20,18 @@
   private static final int CONNECTIONS = 6;
   private static final int FUNCTIONS = 40;
   private static final int MAX_INVOCATIONS = 6_000;
-  private static final int RESPONSE_BUFFER = 1_024;
+  private static final int RESPONSE_BUFFER_BYTES = 1_024;
   private static final int FAULTY_CLIENTS = 8;
 
   /** Number of the first invocation of a faulty client; {@link #invoke} does not reach it. */
-  private static final int FIRST_FAULTY = 10_000;
+  private static final int FIRST_FAULTY_NUMBER = 10_000;
 
   private WarmUpClients() {}
 
   /** Sends invocations until the end time or until {@link #MAX_INVOCATIONS} were sent; blocks. */
   static void invoke(Path socket, Moment end) throws IOException {
     List<SocketChannel> clients = new ArrayList<>();
-    ByteBuffer response = ByteBuffer.allocate(RESPONSE_BUFFER);
+    ByteBuffer response = ByteBuffer.allocate(RESPONSE_BUFFER_BYTES);
     try {
       for (int i = 0;
           i < MAX_INVOCATIONS && NettyEventLoop.clock().isBefore(end);
@@ -61,10 +61,10 @@
   static void invokeWithFaults(Path socket, Moment end) throws IOException {
     for (int i = 0; i < FAULTY_CLIENTS; i++) {
       try (SocketChannel leaving = SocketChannel.open(UnixDomainSocketAddress.of(socket))) {
-        leaving.write(request(FIRST_FAULTY + i));
+        leaving.write(request(FIRST_FAULTY_NUMBER + i));
       }
       try (SocketChannel ahead = SocketChannel.open(UnixDomainSocketAddress.of(socket))) {
-        ahead.write(request(FIRST_FAULTY + FAULTY_CLIENTS + i));
+        ahead.write(request(FIRST_FAULTY_NUMBER + FAULTY_CLIENTS + i));
         ahead.write(
             ByteBuffer.wrap("GET /ping HTTP/1.1\r\n\r\nno request\r\n\r\n".getBytes(US_ASCII)));
         readToEnd(ahead);
@@ -74,7 +74,7 @@
   }
 
   private static void readToEnd(SocketChannel client) throws IOException {
-    ByteBuffer response = ByteBuffer.allocate(RESPONSE_BUFFER);
+    ByteBuffer response = ByteBuffer.allocate(RESPONSE_BUFFER_BYTES);
     while (client.read(response) >= 0) {
       response.clear();
     }
--- a/src/main/java/flintlead/platform/WarmUpEmulators.java
+++ b/src/main/java/flintlead/platform/WarmUpEmulators.java
@@ -12,7 +12,7 @@
 /** Emulated hosts and the emulated journal service of a warm-up. */
 final class WarmUpEmulators {
 
-  private static final int MAX_LINE = 1_000;
+  private static final int MAX_LINE_BYTES = 1_000;
 
   private WarmUpEmulators() {}
 
@@ -20,7 +20,7 @@
   private abstract static class LineConnection implements StreamListener, LineDecoder.LineHandler {
     final Stream stream;
     boolean ended;
-    private final LineDecoder lines = new LineDecoder(MAX_LINE, this);
+    private final LineDecoder lines = new LineDecoder(MAX_LINE_BYTES, this);
 
     LineConnection(Stream stream) {
       this.stream = stream;
@@ -51,12 +51,12 @@
    * A host: answers most invocations, some with a delay, refuses a few and aborts some connections.
    */
   static final class Host extends LineConnection {
-    private static final int FULL_EVERY = 23;
-    private static final int BREAK_EVERY = 101;
-    private static final int LATE_EVERY = 5;
-    private static final Span LATE_BY = Span.ofMillis(2);
-    private static final int TAG_PREFIX = 8;
-    private static final int HEX = 16;
+    private static final int REFUSE_EVERY = 23;
+    private static final int ABORT_EVERY = 101;
+    private static final int DELAY_EVERY = 5;
+    private static final Span RESPONSE_DELAY = Span.ofMillis(2);
+    private static final int TAG_PREFIX_LENGTH = 8;
+    private static final int HEX_RADIX = 16;
 
     private final NettyEventLoop loop;
 
@@ -72,14 +72,14 @@
         return;
       }
       String tag = words[1];
-      int number = Integer.parseInt(tag.substring(TAG_PREFIX), HEX);
-      if (number % BREAK_EVERY == 0) {
+      int number = Integer.parseInt(tag.substring(TAG_PREFIX_LENGTH), HEX_RADIX);
+      if (number % ABORT_EVERY == 0) {
         ended = true;
         stream.abort();
-      } else if (number % LATE_EVERY == 0) {
+      } else if (number % DELAY_EVERY == 0) {
         loop.scheduleAfter(
-            LATE_BY, () -> write(tag + " 200 meter=waiting:1,tell=started 4\r\nbody\r\n"));
-      } else if (number % FULL_EVERY == 0) {
+            RESPONSE_DELAY, () -> write(tag + " 200 meter=waiting:1,tell=started 4\r\nbody\r\n"));
+      } else if (number % REFUSE_EVERY == 0) {
         write(tag + " 503 - 0\r\n\r\n");
       } else {
         write(tag + " 200 meter=waiting:0 4\r\nbody\r\n");
--- a/src/test/java/flintlead/platform/ProcessTest.java
+++ b/src/test/java/flintlead/platform/ProcessTest.java
@@ -136,7 +136,7 @@
     assertThrows(
         IOException.class,
         () ->
-            WarmUp.play(
+            WarmUp.run(
                 folder,
                 Span.ofMillis(100),
                 (socket, end) -> {
