--- a/src/main/java/flintlead/platform/BackgroundWriter.java
+++ b/src/main/java/flintlead/platform/BackgroundWriter.java
@@ -13,11 +13,11 @@
  */
 final class BackgroundWriter implements LogOutput {
 
-  private static final int MAX_LINES = 1_024;
+  private static final int MAX_QUEUED_LINES = 1_024;
   private static final long FLUSH_POLL_MILLIS = 5;
 
   private final PrintStream out;
-  private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(MAX_LINES);
+  private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
 
   /** Number of accepted lines that are not written yet. */
   private final AtomicInteger unwritten = new AtomicInteger();
--- a/src/main/java/flintlead/platform/LogfmtLogger.java
+++ b/src/main/java/flintlead/platform/LogfmtLogger.java
@@ -17,8 +17,8 @@
 final class LogfmtLogger extends LegacyAbstractLogger implements LoggingEventAware {
 
   private static final long serialVersionUID = 1L;
-  private static final int MAX_VALUE = 1_000;
-  private static final int TYPICAL_LINE = 160;
+  private static final int MAX_VALUE_LENGTH = 1_000;
+  private static final int TYPICAL_LINE_LENGTH = 160;
 
   /** Destination of the formatted lines. */
   interface Output {
@@ -97,7 +97,7 @@
   }
 
   private String line(Level level, String message, List<KeyValuePair> pairs) {
-    StringBuilder line = new StringBuilder(TYPICAL_LINE).append("flintlead: ").append(level);
+    StringBuilder line = new StringBuilder(TYPICAL_LINE_LENGTH).append("flintlead: ").append(level);
     if (pairs == null) {
       line.append(' ').append(name).append(':');
     }
@@ -128,15 +128,15 @@
         return true;
       }
     }
-    return value.isEmpty() || value.length() > MAX_VALUE;
+    return value.isEmpty() || value.length() > MAX_VALUE_LENGTH;
   }
 
   /**
    * Appends the text with line breaks and control characters escaped, truncated to {@link
-   * #MAX_VALUE} characters.
+   * #MAX_VALUE_LENGTH} characters.
    */
   private static void appendEscaped(StringBuilder line, String text) {
-    for (int i = 0; i < Math.min(text.length(), MAX_VALUE); i++) {
+    for (int i = 0; i < Math.min(text.length(), MAX_VALUE_LENGTH); i++) {
       char c = text.charAt(i);
       if (c == '"' || c == '\\') {
         line.append('\\').append(c);
@@ -148,7 +148,7 @@
         line.append(c);
       }
     }
-    if (text.length() > MAX_VALUE) {
+    if (text.length() > MAX_VALUE_LENGTH) {
       line.append("...");
     }
   }
--- a/src/main/java/flintlead/platform/Main.java
+++ b/src/main/java/flintlead/platform/Main.java
@@ -16,13 +16,13 @@
   private static final int EXIT_WARM_UP_FAILED = 1;
   private static final int EXIT_BAD_CONFIGURATION = 2;
   private static final String CONFIGURATION_VARIABLE = "ROUTER_CONFIG";
-  private static final Span ARCHIVE_WARM_UP = Span.ofMillis(10_000);
+  private static final Span ARCHIVE_WARM_UP_TIMEOUT = Span.ofMillis(10_000);
 
   /** A longer warm-up would keep a restarted gateway out of service without any benefit. */
-  private static final Span WARM_UP = Span.ofMillis(2_500);
+  private static final Span WARM_UP_TIMEOUT = Span.ofMillis(2_500);
 
   /** How long to wait at exit until the last log lines are written. */
-  private static final Span LOG_FLUSH = Span.ofMillis(200);
+  private static final Span LOG_FLUSH_TIMEOUT = Span.ofMillis(200);
 
   private Main() {}
 
@@ -71,7 +71,7 @@
   private static void flushLog() {
     if (LoggerFactory.getILoggerFactory() instanceof RateLimitedLog log) {
       try {
-        log.flush(LOG_FLUSH);
+        log.flush(LOG_FLUSH_TIMEOUT);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
@@ -97,7 +97,7 @@
   private static int runWarmUpOnly(Path folder) {
     Logger log = createLog();
     try {
-      WarmUp.runForArchive(folder, ARCHIVE_WARM_UP, log);
+      WarmUp.runForArchive(folder, ARCHIVE_WARM_UP_TIMEOUT, log);
       // Logged here also so that the archive contains the classes for an event with keys.
       log.atInfo().addKeyValue("folder", folder).log("warm_up_completed");
       return EXIT_OK;
@@ -109,7 +109,7 @@
 
   private static void warmUp(Path folder, Logger log) {
     try {
-      WarmUp.run(folder, WARM_UP);
+      WarmUp.run(folder, WARM_UP_TIMEOUT);
     } catch (IOException | RuntimeException e) {
       log.atWarn().addKeyValue("error", e).log("warm_up_failed");
     }
--- a/src/main/java/flintlead/platform/PlatformGateway.java
+++ b/src/main/java/flintlead/platform/PlatformGateway.java
@@ -21,7 +21,7 @@
  */
 final class PlatformGateway {
 
-  private static final Span LIST_CHECK_INTERVAL = Span.ofMillis(100);
+  private static final Span HOST_LIST_CHECK_INTERVAL = Span.ofMillis(100);
   private static final Span SUMMARY_INTERVAL = Span.ofMillis(5_000);
 
   private final EventExecutor loop;
@@ -81,7 +81,7 @@
             loop, registry, guard, context.scheduler(), counters, settings.triggerTypeNames(), log);
     this.hosts = new HostListUpdater(pools, context.scheduler());
     invocations.startOverdueChecks();
-    RepeatingTask.start(loop, LIST_CHECK_INTERVAL, () -> leases.checkList(loop.now()));
+    RepeatingTask.start(loop, HOST_LIST_CHECK_INTERVAL, () -> leases.checkList(loop.now()));
     RepeatingTask.start(loop, SUMMARY_INTERVAL, this::logSummary);
   }
 
--- a/src/main/java/flintlead/platform/PlatformServer.java
+++ b/src/main/java/flintlead/platform/PlatformServer.java
@@ -46,7 +46,7 @@
   private static final double CLIENT_DESCRIPTOR_FRACTION = 0.55;
 
   private static final int MIN_HOST_CONNECTIONS = 8;
-  private static final int MAX_RESPONSE_BODY = 64 * 1024;
+  private static final int MAX_RESPONSE_BODY_BYTES = 64 * 1024;
 
   /** Fraction of the heap that request bodies may use. */
   private static final double BODY_HEAP_FRACTION = 0.125;
@@ -57,7 +57,7 @@
   private static final double UNLIMITED_SHARE = 1_000;
 
   /** How long a client may leave its responses unread. */
-  private static final Span UNREAD_RESPONSE_PATIENCE = Span.ofMillis(3_500);
+  private static final Span UNREAD_RESPONSE_TIMEOUT = Span.ofMillis(3_500);
 
   private final NettyEventLoop loop;
   private final Logger log;
@@ -169,7 +169,7 @@
     HostEventProcessor events =
         new HostEventProcessor(
             settings.textList("dcs"), settings.textList("kinds"), clock::toMoment, gateway.hosts());
-    applyKnown(events);
+    applyInitialHostEvents(events);
     return new JournalClient(
         configuration.journal(),
         loop,
@@ -186,7 +186,7 @@
     return new LinkLimits(
         Math.max(MIN_HOST_CONNECTIONS, descriptors),
         Math.max(1, (int) settings.number("limits.max_streams")),
-        MAX_RESPONSE_BODY,
+        MAX_RESPONSE_BODY_BYTES,
         settings.span("limits.dial_timeout"),
         settings.span("limits.conn_idle"),
         settings.span("rules.drain_grace"));
@@ -195,7 +195,7 @@
   private static AdmissionController.Limits admissionBounds(int maxClients) {
     long bodyBytes = (long) (Runtime.getRuntime().maxMemory() * BODY_HEAP_FRACTION);
     return new AdmissionController.Limits(
-        maxClients, bodyBytes, UNLIMITED_SHARE, 1, bodyBytes, 1, 1, UNREAD_RESPONSE_PATIENCE);
+        maxClients, bodyBytes, UNLIMITED_SHARE, 1, bodyBytes, 1, 1, UNREAD_RESPONSE_TIMEOUT);
   }
 
   private static InvocationRequestParser requestParser(
@@ -208,7 +208,7 @@
         settings.namesOf("services"), needsKey, settings.namesOf("tenants"));
   }
 
-  private void applyKnown(HostEventProcessor events) {
+  private void applyInitialHostEvents(HostEventProcessor events) {
     for (int i = 0; i < configuration.initialHostEvents().size(); i++) {
       try {
         if (!events.apply(configuration.initialHostEvents().get(i))) {
@@ -279,7 +279,7 @@
     log.atInfo().addKeyValue("open", gateway.openCount()).log("shutdown_abandoning");
     abandoned = true;
     gateway.abandonAll();
-    loop.scheduleAfter(ShutdownTimes.LAST_CLIENTS, () -> stop(CloseCause.SHUTDOWN));
+    loop.scheduleAfter(ShutdownTimes.REJECTION_PERIOD, () -> stop(CloseCause.SHUTDOWN));
   }
 
   /**
--- a/src/main/java/flintlead/platform/ShutdownTimes.java
+++ b/src/main/java/flintlead/platform/ShutdownTimes.java
@@ -15,19 +15,19 @@
   static final Span POLL_INTERVAL = Span.ofMillis(20);
 
   /** Time allowed for sending the final responses. */
-  private static final Span FINAL_RESPONSES = Span.ofMillis(100);
+  private static final Span FINAL_RESPONSE_TIME = Span.ofMillis(100);
 
   /**
    * How long the gateway goes on rejecting new invocations after the final responses, if clients
    * keep sending and the platform does not kill it.
    */
-  static final Span LAST_CLIENTS = Span.ofMillis(5_000);
+  static final Span REJECTION_PERIOD = Span.ofMillis(5_000);
 
   /**
    * Covers late requests: after SIGTERM, the protocol allows new connections for 0.4 s and requests
    * on them for another 0.2 s.
    */
-  private static final Span LATE_REQUESTS = Span.ofMillis(750);
+  private static final Span LATE_REQUEST_PERIOD = Span.ofMillis(750);
 
   /**
    * SIGKILL follows SIGTERM no sooner than after the longest client timeout, capped at this value,
@@ -45,7 +45,7 @@
       longest = Span.longer(longest, settings.span("services." + i + ".deadline"));
     }
     Span abandonAfter =
-        Span.shorter(longest, MAX_CLIENT_TIMEOUT).plus(KILL_GRACE).minus(FINAL_RESPONSES);
-    return new ShutdownTimes(Span.shorter(LATE_REQUESTS, abandonAfter), abandonAfter);
+        Span.shorter(longest, MAX_CLIENT_TIMEOUT).plus(KILL_GRACE).minus(FINAL_RESPONSE_TIME);
+    return new ShutdownTimes(Span.shorter(LATE_REQUEST_PERIOD, abandonAfter), abandonAfter);
   }
 }
--- a/src/main/java/flintlead/platform/SignalArrival.java
+++ b/src/main/java/flintlead/platform/SignalArrival.java
@@ -11,7 +11,7 @@
 final class SignalArrival {
 
   /** Maximum time from the end of a stall until a signal sent during it has been handled. */
-  private static final Span DELIVERY = Span.ofMillis(250);
+  private static final Span MAX_DELIVERY_TIME = Span.ofMillis(250);
 
   private Moment stallStartedAt;
   private Moment stallEndedAt;
@@ -39,6 +39,6 @@
 
   /** Whether a signal handled at this time may have been sent during the last stall. */
   private boolean isRecent(Moment time) {
-    return stallEndedAt != null && !time.since(stallEndedAt).isLongerThan(DELIVERY);
+    return stallEndedAt != null && !time.since(stallEndedAt).isLongerThan(MAX_DELIVERY_TIME);
   }
 }
--- a/src/main/java/flintlead/platform/WallClock.java
+++ b/src/main/java/flintlead/platform/WallClock.java
@@ -17,19 +17,19 @@
 final class WallClock {
 
   /** Smaller changes of the offset are drift, or the time between reading the two clocks. */
-  private static final Span STEP = Span.ofMillis(250);
+  private static final Span MIN_STEP = Span.ofMillis(250);
 
   /** Maximum number of offsets kept; the oldest is dropped. */
-  private static final int MAX_RELATIONS = 8;
+  private static final int MAX_OFFSETS = 8;
 
   /** Times that lie in the future by at most this much are accepted: they were written just now. */
-  private static final Span TOLERANCE = Span.ofMillis(1_000);
+  private static final Span FUTURE_TOLERANCE = Span.ofMillis(1_000);
 
   private final Supplier<Moment> monotonic;
   private final LongSupplier unixMillis;
 
   /** Observed offsets: wall-clock time minus monotonic time, in microseconds. */
-  private final List<Long> origins = new ArrayList<>();
+  private final List<Long> offsetsMicros = new ArrayList<>();
 
   /**
    * Creates a converter and reads both clocks.
@@ -44,16 +44,16 @@
 
   /** Records the present offset between the clocks. */
   private void observe(Moment now) {
-    long origin = unixMillis.getAsLong() * 1_000 - now.micros();
-    for (int i = 0; i < origins.size(); i++) {
-      if (Math.abs(origins.get(i) - origin) < STEP.micros()) {
-        origins.set(i, origin);
+    long offsetMicros = unixMillis.getAsLong() * 1_000 - now.micros();
+    for (int i = 0; i < offsetsMicros.size(); i++) {
+      if (Math.abs(offsetsMicros.get(i) - offsetMicros) < MIN_STEP.micros()) {
+        offsetsMicros.set(i, offsetMicros);
         return;
       }
     }
-    origins.add(origin);
-    if (origins.size() > MAX_RELATIONS) {
-      origins.remove(0);
+    offsetsMicros.add(offsetMicros);
+    if (offsetsMicros.size() > MAX_OFFSETS) {
+      offsetsMicros.remove(0);
     }
   }
 
@@ -65,9 +65,9 @@
     Moment now = monotonic.get();
     observe(now);
     Moment latest = null;
-    for (long origin : origins) {
-      Moment candidate = new Moment(unixTimeMillis * 1_000 - origin);
-      boolean possible = !candidate.isAfter(now.plus(TOLERANCE));
+    for (long offsetMicros : offsetsMicros) {
+      Moment candidate = new Moment(unixTimeMillis * 1_000 - offsetMicros);
+      boolean possible = !candidate.isAfter(now.plus(FUTURE_TOLERANCE));
       if (possible && (latest == null || candidate.isAfter(latest))) {
         latest = candidate;
       }
--- a/src/main/java/flintlead/platform/downstream/ClientConnection.java
+++ b/src/main/java/flintlead/platform/downstream/ClientConnection.java
@@ -28,21 +28,21 @@
   private static final int UNAVAILABLE = 503;
   private static final int NO_STATUS = 0;
 
-  private static final int MAX_REQUEST_BODY = 16 * 1024;
+  private static final int MAX_REQUEST_BODY_BYTES = 16 * 1024;
 
   /**
    * Maximum number of requests that a client may pipeline behind an invocation. Each of them is
    * refused after the response to the invocation. At the limit no more input is read, and the
    * connection closes after the last refusal.
    */
-  private static final int MAX_PIPELINED = 16;
+  private static final int MAX_PIPELINED_REQUESTS = 16;
 
   static final String RETRY_AFTER_MILLIS = "X-Throttle-Ms";
   private static final String HEALTH_CHECK_PATH = "/ping";
 
   private final HttpFront front;
   private final Stream stream;
-  private final HttpCodec codec = new HttpCodec(MAX_REQUEST_BODY, this);
+  private final HttpCodec codec = new HttpCodec(MAX_REQUEST_BODY_BYTES, this);
   private final ConnectionLimiter<ClientConnection>.TrackedConnection tracked;
   private final ClientTimeouts timeouts;
   private ClientState state = ClientState.READY;
@@ -109,7 +109,7 @@
     timeouts.requestRead(front.now());
     if (state == ClientState.BUSY) {
       pipelined++;
-      inputEnded = pipelined == MAX_PIPELINED;
+      inputEnded = pipelined == MAX_PIPELINED_REQUESTS;
       return;
     }
     keepAlive = HttpUtil.isKeepAlive(head);
--- a/src/main/java/flintlead/platform/downstream/HttpFront.java
+++ b/src/main/java/flintlead/platform/downstream/HttpFront.java
@@ -41,7 +41,7 @@
    * Maximum number of refused connections that wait for their first bytes; beyond it, the oldest is
    * closed.
    */
-  private static final int MAX_REFUSED = 16;
+  private static final int MAX_REFUSED_CONNECTIONS = 16;
 
   /** How long a refused connection may stay open without sending anything. */
   private static final Span REFUSED_TIMEOUT = Span.ofMillis(2_300);
@@ -147,7 +147,7 @@
     reportClosed(CloseCause.REFUSED);
     RefusedConnection connection = new RefusedConnection(this, stream);
     refused.add(connection);
-    if (refused.size() > MAX_REFUSED) {
+    if (refused.size() > MAX_REFUSED_CONNECTIONS) {
       refused.iterator().next().closeIfSilent();
     }
     loop.scheduleAfter(REFUSED_TIMEOUT, connection::closeIfSilent);
--- a/src/main/java/flintlead/platform/downstream/InvocationRequestParser.java
+++ b/src/main/java/flintlead/platform/downstream/InvocationRequestParser.java
@@ -14,7 +14,7 @@
   private static final String PATH_SUFFIX = "/fire";
   private static final double MAX_TTL_MILLIS = 600_000;
   private static final double MAX_WORK_MILLIS = 600_000;
-  private static final int MAX_IDEMPOTENCY_KEY = 64;
+  private static final int MAX_IDEMPOTENCY_KEY_LENGTH = 64;
 
   private final Map<String, Integer> triggerTypes = new HashMap<>();
   private final Map<String, Integer> customers = new HashMap<>();
@@ -113,7 +113,7 @@
     String key = needed ? headers.required("X-Txn-Key") : headers.optional("X-Txn-Key");
     if (key != null && !isIdempotencyKey(key)) {
       throw InvalidRequestException.badRequest(
-          "X-Txn-Key must be 1 to " + MAX_IDEMPOTENCY_KEY + " letters, digits, '-' or '_'");
+          "X-Txn-Key must be 1 to " + MAX_IDEMPOTENCY_KEY_LENGTH + " letters, digits, '-' or '_'");
     }
     return key;
   }
@@ -127,6 +127,6 @@
         return false;
       }
     }
-    return !key.isEmpty() && key.length() <= MAX_IDEMPOTENCY_KEY;
+    return !key.isEmpty() && key.length() <= MAX_IDEMPOTENCY_KEY_LENGTH;
   }
 }
--- a/src/main/java/flintlead/platform/downstream/ResourceHints.java
+++ b/src/main/java/flintlead/platform/downstream/ResourceHints.java
@@ -11,7 +11,7 @@
 record ResourceHints(double memoryMb, double slotsPerInstance, double loadMillis) {
 
   private static final ResourceHints NONE = new ResourceHints(0, 0, 0);
-  private static final int MAX_LENGTH = 512;
+  private static final int MAX_HEADER_LENGTH = 512;
   private static final double MAX_MEMORY_MB = 1 << 22;
   private static final double MAX_SLOTS = 1_024;
   private static final double MAX_LOAD_MILLIS = 600_000;
@@ -26,7 +26,7 @@
     if (header == null || header.isEmpty()) {
       return NONE;
     }
-    if (header.length() > MAX_LENGTH) {
+    if (header.length() > MAX_HEADER_LENGTH) {
       throw InvalidRequestException.badRequest("X-More is too long");
     }
     double memory = 0;
