--- a/src/main/java/flintlead/platform/WarmUp.java
+++ b/src/main/java/flintlead/platform/WarmUp.java
@@ -67,7 +67,8 @@
     run(folder, timeout, clients, NOPLogger.NOP_LOGGER, false);
   }
 
-  private static void run(Path folder, Span timeout, InvocationSender clients, Logger log, boolean shutDown)
+  private static void run(
+      Path folder, Span timeout, InvocationSender clients, Logger log, boolean shutDown)
       throws IOException {
     Path own = Files.createTempDirectory(folder, "r");
     NettyEventLoop emulators = new NettyEventLoop("warm-up");
--- a/src/main/java/flintlead/platform/downstream/HttpFront.java
+++ b/src/main/java/flintlead/platform/downstream/HttpFront.java
@@ -204,7 +204,10 @@
     return openStreams == 0;
   }
 
-  /** Closes the listening socket and all client connections with that cause, without waiting for requests. */
+  /**
+   * Closes the listening socket and all client connections with that cause, without waiting for
+   * requests.
+   */
   public void close(CloseCause cause) {
     if (timeoutChecks != null) {
       timeoutChecks.cancel();
--- a/src/test/java/flintlead/platform/SignalArrivalTest.java
+++ b/src/test/java/flintlead/platform/SignalArrivalTest.java
@@ -23,7 +23,8 @@
   void afterAStallASignalMayHaveBeenSentSinceItsStart() {
     arrival.recordStall(at(2_000), Span.ofMillis(600));
     assertEquals(at(1_400), arrival.earliestSentAt(at(2_250)));
-    assertEquals(at(1_400), arrival.earliestSentAt(at(1_990)), "handled before the stall was detected");
+    assertEquals(
+        at(1_400), arrival.earliestSentAt(at(1_990)), "handled before the stall was detected");
     assertEquals(at(2_251), arrival.earliestSentAt(at(2_251)), "too long after the stall");
   }
 
