--- a/src/main/java/flintlead/platform/InvocationService.java
+++ b/src/main/java/flintlead/platform/InvocationService.java
@@ -104,9 +104,8 @@
     try {
       invocation.setHandle(scheduler.submit(invocation.id(), invocation.spec(loop.now())));
     } catch (RuntimeException e) {
-      // The scheduler may have registered the invocation only in part or not at all, so that
-      // nothing
-      // else would respond to it.
+      // The scheduler may have registered the invocation only in part or not at all: nothing else
+      // would respond to it.
       fail(invocation, e);
     }
     registry.releaseIfFinished(invocation);
--- a/src/main/java/flintlead/platform/PlatformServer.java
+++ b/src/main/java/flintlead/platform/PlatformServer.java
@@ -318,8 +318,7 @@
       journal.stop();
       front.close(cause);
       // Delayed until the closed sockets have been released: before that, the port would still
-      // accept
-      // connections.
+      // accept connections.
       loop.scheduleAfter(ShutdownTimes.POLL_INTERVAL, () -> terminated.complete(null));
     }
   }
--- a/src/main/java/flintlead/platform/SignalArrival.java
+++ b/src/main/java/flintlead/platform/SignalArrival.java
@@ -37,7 +37,7 @@
     return isRecent(handled) ? Moment.earlier(stallStartedAt, handled) : handled;
   }
 
-  /** Whether a signal handled at this time may have been sent during the last stall. */
+  /** Whether the time is at most {@link #MAX_DELIVERY_TIME} after the end of the last stall. */
   private boolean isRecent(Moment time) {
     return stallEndedAt != null && !time.since(stallEndedAt).isLongerThan(MAX_DELIVERY_TIME);
   }
