--- a/src/main/java/flintlead/platform/LogfmtLogger.java
+++ b/src/main/java/flintlead/platform/LogfmtLogger.java
@@ -11,22 +11,22 @@
 
 /**
  * A logger that writes each event as one line in logfmt: {@code flintlead: WARN event_name
- * key=value key="a value"}. An event without keys, as libraries log it, carries its logger's name.
- * Values are escaped, so that none can break the line. May be used by any thread if its output may.
+ * key=value key="a value"}. An event without keys, as logged by libraries, is prefixed with its
+ * logger's name. Values are escaped, so that none can break the line. Thread-safe if its output is.
  */
 final class LogfmtLogger extends LegacyAbstractLogger implements LoggingEventAware {
 
   private static final long serialVersionUID = 1L;
-  private static final int MAX_VALUE = 1_000;
-  private static final int TYPICAL_LINE = 160;
+  private static final int MAX_VALUE_LENGTH = 1_000;
+  private static final int TYPICAL_LINE_LENGTH = 160;
 
-  /** Where lines go. */
+  /** Destination of the formatted lines. */
   interface Output {
 
     /**
      * Writes one line.
      *
-     * @param cause null where there is none
+     * @param cause the logged exception; null if there is none
      */
     void write(String line, Throwable cause);
   }
@@ -97,7 +97,7 @@
   }
 
   private String line(Level level, String message, List<KeyValuePair> pairs) {
-    StringBuilder line = new StringBuilder(TYPICAL_LINE).append("flintlead: ").append(level);
+    StringBuilder line = new StringBuilder(TYPICAL_LINE_LENGTH).append("flintlead: ").append(level);
     if (pairs == null) {
       line.append(' ').append(name).append(':');
     }
@@ -128,12 +128,15 @@
         return true;
       }
     }
-    return value.isEmpty() || value.length() > MAX_VALUE;
+    return value.isEmpty() || value.length() > MAX_VALUE_LENGTH;
   }
 
-  /** Appends the text without line breaks and control characters, and cut at a bound. */
+  /**
+   * Appends the text with line breaks and control characters escaped, truncated to {@link
+   * #MAX_VALUE_LENGTH} characters.
+   */
   private static void appendEscaped(StringBuilder line, String text) {
-    for (int i = 0; i < Math.min(text.length(), MAX_VALUE); i++) {
+    for (int i = 0; i < Math.min(text.length(), MAX_VALUE_LENGTH); i++) {
       char c = text.charAt(i);
       if (c == '"' || c == '\\') {
         line.append('\\').append(c);
@@ -145,7 +148,7 @@
         line.append(c);
       }
     }
-    if (text.length() > MAX_VALUE) {
+    if (text.length() > MAX_VALUE_LENGTH) {
       line.append("...");
     }
   }
--- a/src/main/java/flintlead/platform/Main.java
+++ b/src/main/java/flintlead/platform/Main.java
@@ -9,32 +9,32 @@
 import org.slf4j.LoggerFactory;
 import sun.misc.Signal;
 
-/** The program {@code flintlead.jar platform}: one gateway, from its start to SIGTERM. */
+/** The command {@code flintlead.jar platform}: runs one gateway until SIGTERM. */
 public final class Main {
 
   private static final int EXIT_OK = 0;
   private static final int EXIT_WARM_UP_FAILED = 1;
   private static final int EXIT_BAD_CONFIGURATION = 2;
   private static final String CONFIGURATION_VARIABLE = "ROUTER_CONFIG";
-  private static final Span ARCHIVE_WARM_UP = Span.ofMillis(10_000);
+  private static final Span ARCHIVE_WARM_UP_TIMEOUT = Span.ofMillis(10_000);
 
-  /** Longer would keep a gateway that was started anew out of service for nothing. */
-  private static final Span WARM_UP = Span.ofMillis(2_500);
+  /** A longer warm-up would keep a restarted gateway out of service without any benefit. */
+  private static final Span WARM_UP_TIMEOUT = Span.ofMillis(2_500);
 
-  /** The last lines of the log are waited for this long. */
-  private static final Span LOG_FLUSH = Span.ofMillis(200);
+  /** How long to wait at exit until the last log lines are written. */
+  private static final Span LOG_FLUSH_TIMEOUT = Span.ofMillis(200);
 
   private Main() {}
 
   /**
    * Serves until SIGTERM.
    *
-   * @param archive only to run the warm-up, from which the build archives classes
+   * @param archive whether to run only the warm-up from which the build creates the class archive
    * @return the process's exit code
    */
   public static int run(boolean archive) {
     SignalHandler signals = new SignalHandler(NettyEventLoop::clock);
-    // Before all else: the JVM ends on SIGHUP, and on SIGTERM with an exit code of its own.
+    // Installed first: by default the JVM ends on SIGHUP, and on SIGTERM with its own exit code.
     Signal.handle(new Signal("HUP"), signal -> signals.reload());
     Path folder = Path.of(System.getProperty("java.io.tmpdir"));
     if (archive) {
@@ -71,14 +71,17 @@
   private static void flushLog() {
     if (LoggerFactory.getILoggerFactory() instanceof RateLimitedLog log) {
       try {
-        log.flush(LOG_FLUSH);
+        log.flush(LOG_FLUSH_TIMEOUT);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
     }
   }
 
-  /** Chooses the small log, before any class asks SLF4J for a logger. */
+  /**
+   * Selects {@link RateLimitedLog} as the SLF4J provider; must run before any class requests a
+   * logger.
+   */
   private static Logger createLog() {
     setIfAbsent("slf4j.provider", RateLimitedLog.class.getName());
     setIfAbsent("slf4j.internal.verbosity", "WARN");
@@ -94,8 +97,8 @@
   private static int runWarmUpOnly(Path folder) {
     Logger log = createLog();
     try {
-      WarmUp.playForArchive(folder, ARCHIVE_WARM_UP, log);
-      // Also so that the archive has the classes of an event with keys.
+      WarmUp.runForArchive(folder, ARCHIVE_WARM_UP_TIMEOUT, log);
+      // Logged here also so that the archive contains the classes for an event with keys.
       log.atInfo().addKeyValue("folder", folder).log("warm_up_completed");
       return EXIT_OK;
     } catch (IOException e) {
@@ -106,7 +109,7 @@
 
   private static void warmUp(Path folder, Logger log) {
     try {
-      WarmUp.play(folder, WARM_UP);
+      WarmUp.run(folder, WARM_UP_TIMEOUT);
     } catch (IOException | RuntimeException e) {
       log.atWarn().addKeyValue("error", e).log("warm_up_failed");
     }
--- a/src/main/java/flintlead/platform/SignalArrival.java
+++ b/src/main/java/flintlead/platform/SignalArrival.java
@@ -4,38 +4,41 @@
 import flintlead.time.Span;
 
 /**
- * How long ago a signal may have been sent. A signal that comes while the process stands still is
- * delivered when it runs again, so its sender may have waited since the standstill began. Pure and
- * not thread-safe.
+ * Determines the earliest time at which a signal may have been sent. A signal that arrives while
+ * the process is stalled is delivered only when the process runs again, so its sender may have been
+ * waiting since the stall began. Pure and not thread-safe.
  */
 final class SignalArrival {
 
-  /** From the end of a standstill until a signal sent during it has been handled, at most. */
-  private static final Span DELIVERY = Span.ofMillis(250);
+  /** Maximum time from the end of a stall until a signal sent during it has been handled. */
+  private static final Span MAX_DELIVERY_TIME = Span.ofMillis(250);
 
-  private Moment standstillBegan;
-  private Moment standstillEnded;
+  private Moment stallStartedAt;
+  private Moment stallEndedAt;
 
   /**
-   * The process stood still.
+   * Records that the process was stalled.
    *
    * @param ended when it ran again
+   * @param length how long it was stalled
    */
-  void stoodStill(Moment ended, Span length) {
-    Moment began = ended.minus(length);
-    if (!isRecent(began)) {
-      standstillBegan = began;
+  void recordStall(Moment ended, Span length) {
+    Moment startedAt = ended.minus(length);
+    if (!isRecent(startedAt)) {
+      stallStartedAt = startedAt;
     }
-    standstillEnded = ended;
+    stallEndedAt = ended;
   }
 
-  /** The earliest time at which a signal that was handled at this time may have been sent. */
-  Moment earliest(Moment handled) {
-    return isRecent(handled) ? Moment.earlier(standstillBegan, handled) : handled;
+  /**
+   * Returns the earliest time at which a signal that was handled at this time may have been sent.
+   */
+  Moment earliestSentAt(Moment handled) {
+    return isRecent(handled) ? Moment.earlier(stallStartedAt, handled) : handled;
   }
 
-  /** Whether the last standstill had just ended at this time. */
+  /** Whether the time is at most {@link #MAX_DELIVERY_TIME} after the end of the last stall. */
   private boolean isRecent(Moment time) {
-    return standstillEnded != null && !time.since(standstillEnded).isLongerThan(DELIVERY);
+    return stallEndedAt != null && !time.since(stallEndedAt).isLongerThan(MAX_DELIVERY_TIME);
   }
 }
--- a/src/main/java/flintlead/platform/downstream/ClientConnection.java
+++ b/src/main/java/flintlead/platform/downstream/ClientConnection.java
@@ -13,7 +13,9 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpUtil;
 
-/** One client's connection: one invocation at a time. Used on the event loop only. */
+/**
+ * A client's HTTP connection, which carries one invocation at a time. Used on the event loop only.
+ */
 final class ClientConnection
     implements StreamListener, HttpCodec.RequestHandler, InvocationHandler.ResponseCallback {
 
@@ -24,40 +26,43 @@
   private static final int CONFLICT = 409;
   private static final int INTERNAL_ERROR = 500;
   private static final int UNAVAILABLE = 503;
-  private static final int NONE = 0;
+  private static final int NO_STATUS = 0;
 
-  private static final int MAX_REQUEST_BODY = 16 * 1024;
+  private static final int MAX_REQUEST_BODY_BYTES = 16 * 1024;
 
   /**
-   * Requests sent ahead are refused after the response before them; what comes after this many is
-   * not read any more, and the connection ends with the last refusal.
+   * Maximum number of requests that a client may pipeline behind an invocation. Each of them is
+   * refused after the response to the invocation. At the limit no more input is read, and the
+   * connection closes after the last refusal.
    */
-  private static final int MAX_PIPELINED = 16;
+  private static final int MAX_PIPELINED_REQUESTS = 16;
 
   static final String RETRY_AFTER_MILLIS = "X-Throttle-Ms";
   private static final String HEALTH_CHECK_PATH = "/ping";
 
   private final HttpFront front;
   private final Stream stream;
-  private final HttpCodec codec = new HttpCodec(MAX_REQUEST_BODY, this);
+  private final HttpCodec codec = new HttpCodec(MAX_REQUEST_BODY_BYTES, this);
   private final ConnectionLimiter<ClientConnection>.TrackedConnection tracked;
   private final ClientTimeouts timeouts;
   private ClientState state = ClientState.READY;
 
-  /** The invocation under way; only while busy. */
-  private long invocation;
+  /** Id of the invocation in flight; valid only in state {@link ClientState#BUSY}. */
+  private long invocationId;
 
-  /** Whether the last request lets the connection stay open. */
+  /** Whether the most recent request allows the connection to be kept open. */
   private boolean keepAlive;
 
-  /** Requests read while busy, to be refused once the response before them is out. */
+  /**
+   * Number of requests received while busy; they are refused after the response to the invocation.
+   */
   private int pipelined;
 
-  /** Nothing more is read: the connection ends once what was read has its responses. */
+  /** Set when no more input is read; the connection closes after the responses to what was read. */
   private boolean inputEnded;
 
-  /** The status for bytes that are no request and came while busy; 0 where none came. */
-  private int rejectedStatus = NONE;
+  /** HTTP status with which malformed input received while busy is refused; 0 if there was none. */
+  private int rejectedStatus = NO_STATUS;
 
   ClientConnection(HttpFront front, Stream stream) {
     this.front = front;
@@ -67,7 +72,7 @@
     this.tracked = front.limiter().add(this, now);
   }
 
-  // ---- events of the stream ----
+  // ---- stream events ----
 
   @Override
   public void received(ByteBuf bytes) {
@@ -77,7 +82,7 @@
     try {
       codec.feed(bytes);
     } catch (RuntimeException e) {
-      // A fault that its bytes bring about ends this client's connection only.
+      // A failure caused by a client's input closes only the connection of that client.
       front.logFault(e);
       abort(CloseCause.FAULT);
     }
@@ -88,7 +93,7 @@
 
   @Override
   public void closed(String error) {
-    if (end()) {
+    if (releaseResources()) {
       front.clientLeft();
     }
     front.streamClosed();
@@ -104,7 +109,7 @@
     timeouts.requestRead(front.now());
     if (state == ClientState.BUSY) {
       pipelined++;
-      inputEnded = pipelined == MAX_PIPELINED;
+      inputEnded = pipelined == MAX_PIPELINED_REQUESTS;
       return;
     }
     keepAlive = HttpUtil.isKeepAlive(head);
@@ -130,7 +135,7 @@
       return;
     }
     become(ClientState.BUSY);
-    invocation = request.id();
+    invocationId = request.id();
     front.limiter().setBusy(tracked, true, front.now());
     front.handler().submit(request, body, stream.earliestArrival(), this);
   }
@@ -139,7 +144,7 @@
   public void rejected(int status, String reason) {
     inputEnded = true;
     if (state == ClientState.BUSY) {
-      // Its response comes after that to the invocation under way.
+      // Refused after the response to the invocation in flight.
       rejectedStatus = status;
       return;
     }
@@ -147,7 +152,7 @@
     respond(status);
   }
 
-  // ---- the response to the invocation ----
+  // ---- response to the invocation ----
 
   @Override
   public void succeeded(ByteBuf body) {
@@ -185,16 +190,16 @@
       pipelined--;
       respondUnavailable(front.handler().retryAfter().micros() / 1000);
     }
-    if (rejectedStatus != NONE && !isClosed()) {
+    if (rejectedStatus != NO_STATUS && !isClosed()) {
       int status = rejectedStatus;
-      rejectedStatus = NONE;
+      rejectedStatus = NO_STATUS;
       respond(status);
     }
   }
 
-  /** Whether something that was read while busy has no response yet. */
-  private boolean owesMoreResponses() {
-    return pipelined > 0 || rejectedStatus != NONE;
+  /** Whether requests or malformed input received while busy have not been refused yet. */
+  private boolean hasPendingRefusals() {
+    return pipelined > 0 || rejectedStatus != NO_STATUS;
   }
 
   private void respond(int status) {
@@ -214,17 +219,17 @@
       return;
     }
     timeouts.responseWritten(front.now());
-    boolean last = !owesMoreResponses() && (!keepAlive || inputEnded || front.isDraining());
+    boolean last = !hasPendingRefusals() && (!keepAlive || inputEnded || front.isDraining());
     stream.write(codec.encodeResponse(status, body, last, header, value));
-    if (last && end()) {
-      front.closed(CloseCause.LAST_RESPONSE);
+    if (last && releaseResources()) {
+      front.reportClosed(CloseCause.LAST_RESPONSE);
       stream.closeGracefully();
     }
   }
 
-  // ---- upkeep and the end ----
+  // ---- timeouts and closing ----
 
-  /** Ends the connection, or answers it, where it has waited too long. */
+  /** Closes the connection, or responds with status 408, if a timeout has expired. */
   void checkTimeouts(Moment now) {
     if (isClosed()) {
       return;
@@ -235,32 +240,38 @@
         keepAlive = false;
         respond(REQUEST_TIMEOUT);
       }
-      case IDLE -> closeUnlessUsed(CloseCause.IDLE);
+      case IDLE -> closeIfIdle(CloseCause.IDLE);
       default -> {
         // Nothing is due.
       }
     }
   }
 
-  /** Whether it is open, no request is coming in or under way and every response has left. */
+  /**
+   * Whether the connection is open, no request is being received or in flight, and all responses
+   * have been handed to the kernel.
+   */
   boolean isQuiet() {
     return state == ClientState.READY
         && !timeouts.hasPartialRequest()
         && stream.pendingBytes() == 0;
   }
 
-  /** Whether no complete request came for so long that none is on its way. */
-  boolean isUnusedFor(Span span, Moment now) {
+  /**
+   * Whether the connection has waited for a request for longer than the span, so that none is
+   * assumed to be in transit.
+   */
+  boolean isIdleFor(Span span, Moment now) {
     return state == ClientState.READY && now.since(timeouts.waitingSince()).isLongerThan(span);
   }
 
   /**
-   * Closes the connection if no request is under way: also none that was received and not looked at
-   * yet. Where that isn't known it is looked at first.
+   * Closes the connection unless a request is in flight or waits unread in the socket. If the
+   * socket was not polled recently enough to know, the check is repeated after the next poll.
    *
-   * @return whether it is closed now
+   * @return whether this call closed the connection
    */
-  boolean closeUnlessUsed(CloseCause cause) {
+  boolean closeIfIdle(CloseCause cause) {
     if (state != ClientState.READY || stream.pendingBytes() > 0) {
       return false;
     }
@@ -268,36 +279,39 @@
     if (seen) {
       close(cause);
     } else {
-      front.polls().afterNextPoll(() -> closeUnlessUsed(cause));
+      front.polls().afterNextPoll(() -> closeIfIdle(cause));
     }
     return seen;
   }
 
-  /** Closes after what was written has left. */
+  /** Closes the connection after all written bytes have been handed to the kernel. */
   void close(CloseCause cause) {
     reportUnanswered(cause);
-    if (end()) {
-      front.closed(cause);
+    if (releaseResources()) {
+      front.reportClosed(cause);
       stream.close();
     }
   }
 
   private void abort(CloseCause cause) {
     reportUnanswered(cause);
-    if (end()) {
-      front.closed(cause);
+    if (releaseResources()) {
+      front.reportClosed(cause);
       stream.abort();
     }
   }
 
   private void reportUnanswered(CloseCause cause) {
     if (state == ClientState.BUSY && !cause.mayLeaveUnanswered()) {
-      front.handler().closedUnanswered(invocation, cause);
+      front.handler().closedUnanswered(invocationId, cause);
     }
   }
 
-  /** Gives up what the connection holds; false where that was done before. */
-  private boolean end() {
+  /**
+   * Marks the connection as closed and releases its resources; returns false if it was closed
+   * before.
+   */
+  private boolean releaseResources() {
     if (isClosed()) {
       return false;
     }
@@ -306,7 +320,7 @@
     front.limiter().remove(tracked);
     front.connectionClosed(this);
     if (busy) {
-      front.handler().clientDisconnected(invocation);
+      front.handler().clientDisconnected(invocationId);
     }
     codec.release();
     return true;
@@ -318,7 +332,8 @@
 
   private void become(ClientState next) {
     if (!state.mayBecome(next)) {
-      throw new IllegalStateException("client can't go from " + state + " to " + next);
+      throw new IllegalStateException(
+          "client connection cannot change state from " + state + " to " + next);
     }
     state = next;
   }
--- a/src/main/java/flintlead/platform/downstream/ResourceHints.java
+++ b/src/main/java/flintlead/platform/downstream/ResourceHints.java
@@ -1,32 +1,32 @@
 package flintlead.platform.downstream;
 
 /**
- * What the {@code X-More} header says of an instance of the function, as {@code
- * name:value;name:value}; zero for what it does not say.
+ * Resources needed by an instance of the function, from the {@code X-More} header ({@code
+ * name:value;name:value}). Values that the header omits are zero.
  *
  * @param memoryMb memory of one instance, in MB
- * @param slotsPerInstance invocations that one instance runs at once
+ * @param slotsPerInstance invocations that one instance runs concurrently
  * @param loadMillis how long an instance takes to load
  */
 record ResourceHints(double memoryMb, double slotsPerInstance, double loadMillis) {
 
   private static final ResourceHints NONE = new ResourceHints(0, 0, 0);
-  private static final int MAX_LENGTH = 512;
+  private static final int MAX_HEADER_LENGTH = 512;
   private static final double MAX_MEMORY_MB = 1 << 22;
   private static final double MAX_SLOTS = 1_024;
   private static final double MAX_LOAD_MILLIS = 600_000;
 
   /**
-   * Parses the header's value; names that are not known here must have numbers for values too.
+   * Parses the header's value. Unknown names are ignored, but their values must be numbers too.
    *
-   * @param header null where there is none
-   * @throws InvalidRequestException where it is malformed
+   * @param header the header's value; null if the header is absent
+   * @throws InvalidRequestException if the value is malformed
    */
   static ResourceHints parse(String header) throws InvalidRequestException {
     if (header == null || header.isEmpty()) {
       return NONE;
     }
-    if (header.length() > MAX_LENGTH) {
+    if (header.length() > MAX_HEADER_LENGTH) {
       throw InvalidRequestException.badRequest("X-More is too long");
     }
     double memory = 0;
--- a/src/test/java/flintlead/platform/SignalArrivalTest.java
+++ b/src/test/java/flintlead/platform/SignalArrivalTest.java
@@ -15,24 +15,25 @@
   }
 
   @Test
-  void withoutStandstillItWasSentWhenItWasHandled() {
-    assertEquals(at(700), arrival.earliest(at(700)));
+  void withoutAStallASignalWasSentWhenItWasHandled() {
+    assertEquals(at(700), arrival.earliestSentAt(at(700)));
   }
 
   @Test
-  void afterStandstillItMayHaveBeenSentSinceTheBeginning() {
-    arrival.stoodStill(at(2_000), Span.ofMillis(600));
-    assertEquals(at(1_400), arrival.earliest(at(2_250)));
-    assertEquals(at(1_400), arrival.earliest(at(1_990)), "handled before it was noticed");
-    assertEquals(at(2_251), arrival.earliest(at(2_251)), "long after it");
+  void afterAStallASignalMayHaveBeenSentSinceItsStart() {
+    arrival.recordStall(at(2_000), Span.ofMillis(600));
+    assertEquals(at(1_400), arrival.earliestSentAt(at(2_250)));
+    assertEquals(
+        at(1_400), arrival.earliestSentAt(at(1_990)), "handled before the stall was detected");
+    assertEquals(at(2_251), arrival.earliestSentAt(at(2_251)), "too long after the stall");
   }
 
   @Test
-  void standstillsCloseTogetherCountAsOne() {
-    arrival.stoodStill(at(2_000), Span.ofMillis(600));
-    arrival.stoodStill(at(2_300), Span.ofMillis(100));
-    assertEquals(at(1_400), arrival.earliest(at(2_400)));
-    arrival.stoodStill(at(4_000), Span.ofMillis(200));
-    assertEquals(at(3_800), arrival.earliest(at(4_100)));
+  void stallsInQuickSuccessionCountAsOne() {
+    arrival.recordStall(at(2_000), Span.ofMillis(600));
+    arrival.recordStall(at(2_300), Span.ofMillis(100));
+    assertEquals(at(1_400), arrival.earliestSentAt(at(2_400)));
+    arrival.recordStall(at(4_000), Span.ofMillis(200));
+    assertEquals(at(3_800), arrival.earliestSentAt(at(4_100)));
   }
 }
