--- a/src/main/java/flintlead/platform/upstream/CloseReason.java
+++ b/src/main/java/flintlead/platform/upstream/CloseReason.java
@@ -2,25 +2,30 @@
 
 import flintlead.transport.dial.LocalExhaustion;
 
-/** Why a connection to a host ended, as far as it decides what becomes of the requests on it. */
+/**
+ * Why a connection to a host ended. Determines the outcome of the requests that were in flight on
+ * it.
+ */
 enum CloseReason {
-  /** This gateway closed it: it was idle, suspect or no longer needed. */
+  /** This gateway closed the connection because it was idle, suspect or no longer needed. */
   CLOSED_LOCALLY,
-  /** It never opened: refused, timed out or unreachable. */
+  /** The connection never opened: it was refused or timed out, or the host is unreachable. */
   CONNECT_FAILED,
-  /** It never opened, as this machine had no descriptor, buffer or port left for it. */
+  /**
+   * The connection never opened because this machine had no descriptor, buffer or port left for it.
+   */
   LOCAL_EXHAUSTION,
-  /** It was reset before it opened: somebody listens there and accepted it. */
+  /** The connection was reset before it opened, so a process listens there and had accepted it. */
   RESET_WHILE_CONNECTING,
-  /** It broke after it had opened. */
+  /** The connection broke after it had opened, or was aborted to discard unsent bytes. */
   BROKEN,
-  /** The host sent what is no response. */
+  /** The host sent a malformed response or stopped in the middle of one. */
   MALFORMED_RESPONSE;
 
   /**
    * Classifies the end of a stream.
    *
-   * @param error the transport's description
+   * @param error the transport's description of the error
    * @param opened whether the stream had opened
    */
   static CloseReason of(String error, boolean opened) {
--- a/src/main/java/flintlead/platform/upstream/ConnectionPool.java
+++ b/src/main/java/flintlead/platform/upstream/ConnectionPool.java
@@ -10,29 +10,29 @@
 import java.util.List;
 
 /**
- * The connections to one host and the requests that wait for one. Each request gets a connection of
- * its own as long as more may be opened, as a malformed response takes everything with it that is
- * in flight on its connection; beyond that many requests share one. Used on the event loop only.
+ * The connections to one host and the requests that wait for one. Each request gets its own
+ * connection while more may be opened, because a malformed response ends all requests in flight on
+ * its connection; beyond that, requests share connections. Used on the event loop only.
  */
 public final class ConnectionPool {
 
-  /** How long after a connection broke the host is given to show that it is alive. */
+  /** Time after a connection broke within which the host must show that it is alive. */
   private static final Span LIVENESS_TIMEOUT = Span.ofMillis(150);
 
-  /** Connections that may be reset while opening under a queued request, before it fails. */
+  /** Connections reset while opening after which a queued request fails; one refusal suffices. */
   private static final int MAX_CONNECT_FAILURES = 4;
 
   private static final int MAX_QUEUED = 2_000;
 
   /**
-   * When this side closes an idle connection, as a fraction of the host's own idle timeout: else a
-   * request would cross the host's close.
+   * Fraction of the host's idle timeout after which this gateway closes an idle connection. If the
+   * host closed it first, a request could be sent at the same moment and be lost.
    */
   private static final double IDLE_TIMEOUT_FRACTION = 0.6;
 
   /**
-   * When bytes in send buffers are discarded, as a fraction of the drain grace: they would arrive
-   * after it.
+   * Fraction of the drain grace period after which unsent bytes are discarded: bytes sent later
+   * could reach the host after the grace period.
    */
   private static final double DISCARD_FRACTION = 0.5;
 
@@ -46,7 +46,7 @@
   private final HostProofs proof;
   private final ListedStatus listed = new ListedStatus();
 
-  /** Whether what is queued waits until the sockets were looked at. */
+  /** Whether the queued requests wait for the next poll of the sockets. */
   private boolean awaitsPoll;
 
   ConnectionPool(
@@ -92,7 +92,7 @@
 
   // ---- requests ----
 
-  /** Sends the request, or queues it; its outcome is never delivered within this call. */
+  /** Sends the request or queues it. The outcome is never delivered within this call. */
   public void run(Request request) {
     if (!isActive()) {
       endLater(request, Outcome.CONNECT_FAILED);
@@ -106,13 +106,13 @@
     }
   }
 
-  /** Sends requests whose host has just been proven to take new work. */
+  /** Sends requests that waited for a probe, after the probe has renewed the host's lease. */
   void sendProven(List<Request> proven) {
     queue.addAll(proven);
     sendQueued();
   }
 
-  /** Sends a command that has no response; dropped where no connection accepts it now. */
+  /** Sends a command that has no response; dropped if no connection accepts it now. */
   public void sendCommand(String line) {
     HostConnection connection = connections.anyAccepting();
     if (connection != null) {
@@ -121,9 +121,9 @@
   }
 
   /**
-   * Ends a request early; no outcome is delivered.
+   * Ends a request early, without delivering an outcome.
    *
-   * @return whether it is proven that nothing of it left; else the host is sent a cancellation
+   * @return whether certainly nothing of it was sent; if not, the host is sent a cancellation
    */
   public boolean withdraw(Request request) {
     request.withdrawn();
@@ -138,17 +138,14 @@
     return false;
   }
 
-  /**
-   * Ends the request as withdrawn if it is still queued; one that has left is not touched. The
-   * outcome is delivered later.
-   */
+  /** Ends the request as withdrawn if it is still queued; the outcome is delivered later. */
   public void withdrawIfQueued(Request request) {
     if (queue.remove(request) || proof.remove(request)) {
       endLater(request, Outcome.WITHDRAWN);
     }
   }
 
-  /** Delivers the outcome of a request that is nowhere any more, as an event of its own. */
+  /** Delivers the outcome of a request that is neither queued nor in flight, in another event. */
   void endLater(Request request, Outcome outcome) {
     request.decided();
     all.loop().scheduleAt(now(), () -> request.end(outcome, ResponseFields.NONE, null));
@@ -160,7 +157,7 @@
       HostConnection idle = connections.idleFor(request);
       if (idle == null && mayConnect()) {
         if (connections.connecting() >= queue.size()) {
-          // As many as wait are being opened: it goes on whichever is open first.
+          // Enough connections are opening for all queued requests; the first to open takes this.
           return;
         }
         if (connect()) {
@@ -185,14 +182,14 @@
   }
 
   /**
-   * Sends the request, or ends it where it must never leave; false where it waits until the sockets
-   * were looked at, and all behind it too.
+   * Sends the request, or ends it if it must never be sent. Returns false if it has to wait until
+   * the sockets were polled; the requests queued behind it wait too.
    */
   private boolean sendIfAllowed(Request request, HostConnection connection) {
     queue.poll();
     switch (connection.send(request, all.loop().polls())) {
       case SEND -> {
-        // Its response, or the end of its connection, comes later.
+        // The response, or the end of the connection, is handled when it arrives.
       }
       case LOOK_FIRST -> {
         queue.addFirst(request);
@@ -219,7 +216,7 @@
     }
   }
 
-  /** Neither a connection nor a way to open one: a request may go elsewhere at once. */
+  /** Whether no connection is left and no liveness check runs: queued requests fail at once. */
   private boolean hasNoProspect() {
     return connections.isEmpty() && unsettled.isEmpty();
   }
@@ -230,7 +227,7 @@
     return isActive() && connections.size() < all.maxPerHost();
   }
 
-  /** Begins to open a connection; false where the bounds on all connections do not allow it. */
+  /** Begins to open a connection; returns false if the limits of all pools do not allow it. */
   private boolean connect() {
     if (!all.mayOpen(this)) {
       return false;
@@ -254,13 +251,13 @@
     }
   }
 
-  /** Bytes came from the host. */
+  /** Called when bytes have arrived from the host. */
   void received() {
     unsettled.hostIsAlive();
     sendQueued();
   }
 
-  /** A connection's send buffer is empty again. */
+  /** Called when a connection's send buffer has become empty. */
   void sendBufferDrained() {
     sendQueued();
   }
@@ -282,12 +279,12 @@
         }
       }
       case RESET_WHILE_CONNECTING -> {
-        // Only a listening host can reset a connection that it has accepted.
+        // The host is alive: only a process that has accepted a connection can reset it.
         unsettled.hostIsAlive();
         connectFailed(1);
       }
       case LOCAL_EXHAUSTION -> {
-        // It says nothing of the host.
+        // A local failure, which proves nothing about the host.
         all.descriptorsExhausted();
         connectFailed(1);
       }
@@ -297,18 +294,18 @@
         connectFailed(MAX_CONNECT_FAILURES);
       }
       default -> {
-        // Closed by this gateway, with nothing in flight.
+        // This gateway closed the connection; no request was in flight on it.
       }
     }
     if (reason == CloseReason.CLOSED_LOCALLY) {
-      // Closed by the bounds or after a withdrawal: a queued request may need another connection.
+      // Closed at the connection limit or after a withdrawal: queued requests may need another.
       all.loop().scheduleAt(now(), this::sendQueued);
     } else {
       sendQueued();
     }
   }
 
-  /** Opens a connection, if none is being opened, to see whether the host is alive. */
+  /** Opens a connection, if none is being opened, to find out whether the host is alive. */
   private void checkLiveness(List<Request> unanswered) {
     if (unanswered.isEmpty()) {
       return;
@@ -320,7 +317,7 @@
             connecting ? LIVENESS_TIMEOUT : Span.ZERO, () -> unsettled.hostIsDead(unanswered));
   }
 
-  /** Ends the queued requests that have seen too many connections fail, unless another is open. */
+  /** Ends queued requests with too many connect failures, unless another connection is open. */
   private void connectFailed(int failures) {
     boolean othersOpen = connections.hasOpen();
     for (Request request : List.copyOf(queue)) {
@@ -331,21 +328,21 @@
     }
   }
 
-  // ---- events of the endpoint list ----
+  // ---- events of the host list ----
 
-  /** Sends nothing new from now on and ends what is queued; what is in flight may end. */
+  /** Sends no new requests from now on and ends the queued ones. Requests in flight may finish. */
   void drain() {
     if (listed.drain()) {
       beginDraining();
     }
   }
 
-  /** The host takes part again, under the same name. */
+  /** Called when the host list reports the host as active; ends a drain. */
   void activate() {
     listed.activate();
   }
 
-  /** The host is not listed any more: drains for good. */
+  /** Called when the host was removed from the host list: drains permanently. */
   void remove() {
     if (listed.remove()) {
       beginDraining();
@@ -368,32 +365,32 @@
     }
   }
 
-  // ---- upkeep ----
+  // ---- maintenance ----
 
-  /** Whether nothing is left of it. */
+  /** Whether no connection, request or probe is left. */
   boolean isEmpty() {
     return connections.isEmpty() && queue.isEmpty() && unsettled.isEmpty() && proof.isEmpty();
   }
 
   /**
-   * Looks after its connections. Called regularly, as it also sends queued requests: that another
-   * pool's connection made room is an event of no connection here.
+   * Maintains the connections; called regularly. Also sends queued requests: if a connection of
+   * another pool has closed and made room for one here, no event of this pool reports it.
    */
   void maintain(Moment now) {
     sendQueued();
     if (!proof.holds()) {
-      // What has not left yet would arrive after the host's lease has ended.
+      // Bytes that are still unsent would reach the host after its lease has ended.
       connections.discardUnsentBytes();
     }
     connections.maintain(now, limits().hostIdleTimeout().times(IDLE_TIMEOUT_FRACTION));
   }
 
-  /** Closes connections that have nothing in flight. */
+  /** Closes connections that have no request in flight. */
   public void closeIdle() {
     connections.closeIdle();
   }
 
-  /** The connection that has been idle for longest; null where none is idle. */
+  /** The connection that has been idle the longest; null if none is idle. */
   HostConnection longestIdle() {
     return connections.longestIdle();
   }
--- a/src/main/java/flintlead/platform/upstream/ConnectionPools.java
+++ b/src/main/java/flintlead/platform/upstream/ConnectionPools.java
@@ -16,15 +16,15 @@
 import org.slf4j.Logger;
 
 /**
- * The connection pools of all hosts, within one bound on their connections. Used on the event loop
- * only.
+ * The connection pools of all hosts, with a common limit on the number of their connections. Used
+ * on the event loop only.
  */
 public final class ConnectionPools {
 
   private static final Span MAINTENANCE_INTERVAL = Span.ofMillis(50);
   private static final double MAX_CONNECTS_PER_SECOND = 2_000;
 
-  /** Connections to one host at most: a gateway's own invocations there are fewer as a rule. */
+  /** Maximum connections to one host. A gateway usually has fewer concurrent invocations there. */
   private static final int MAX_PER_HOST = 32;
 
   private static final int MIN_PER_HOST = 2;
@@ -38,8 +38,8 @@
   private final Map<Long, ConnectionPool> pools = new TreeMap<>();
 
   /**
-   * Pools of hosts that were removed, until the last of their connections has ended; several of one
-   * host where it is removed again.
+   * Pools of removed hosts, kept until their last connection has ended. Contains several pools of a
+   * host that was removed more than once.
    */
   private final List<ConnectionPool> removed = new ArrayList<>();
 
@@ -47,10 +47,10 @@
   private int deferredSends;
 
   /**
-   * Creates pools for no hosts and begins their upkeep.
+   * Creates an instance without pools and starts the regular maintenance.
    *
-   * @param limits bounds of the connections
-   * @param guard decides at the moment of writing whether new work may leave
+   * @param limits limits of the connections
+   * @param guard decides at the moment of writing whether new work may be sent
    * @param log receives {@code host_response_malformed}
    */
   public ConnectionPools(
@@ -75,26 +75,29 @@
     log.atError().setCause(cause).log("host_maintenance_failed");
   }
 
-  /** Requests wait until the sockets were looked at. */
+  /** Counts requests that were deferred until the next poll of the sockets. */
   void sendDeferred() {
     deferredSends++;
   }
 
-  /** How often requests had to wait until the sockets were looked at, since the last call. */
+  /**
+   * Returns and resets the number of times that requests were deferred until the next poll of the
+   * sockets.
+   */
   public int pollDeferredSends() {
     int count = deferredSends;
     deferredSends = 0;
     return count;
   }
 
-  /** The pool of a listed host; null where it is not listed. */
+  /** The pool of a host; null if the host is not listed. */
   public ConnectionPool get(long host) {
     return pools.get(host);
   }
 
   /**
-   * The host is listed. At another address, or started later than before, it is another process:
-   * the connections belong to the old one, which gets nothing new.
+   * Adds or updates a listed host. A different address or a later start time means a new process:
+   * the existing connections lead to the old one, which gets no new requests.
    */
   public void update(long host, String name, Address address, Moment startedAt, boolean draining) {
     ConnectionPool pool = pools.get(host);
@@ -113,7 +116,7 @@
     }
   }
 
-  /** The host is not listed any more; what is in flight there may end. */
+  /** Removes a host that is no longer listed. Requests in flight there may finish. */
   public void remove(long host) {
     ConnectionPool pool = pools.remove(host);
     if (pool != null) {
@@ -123,7 +126,7 @@
     }
   }
 
-  /** Connections to all hosts, open or being opened. */
+  /** Number of connections to all hosts, open or being opened. */
   public int connections() {
     return connections;
   }
@@ -147,19 +150,20 @@
         .log("host_response_malformed");
   }
 
-  /** Decides at the moment of writing whether new work may leave. */
+  /** The guard that decides at the moment of writing whether new work may be sent. */
   public HostSendGuard guard() {
     return guard;
   }
 
-  /** The name of a host; its number where it is not listed. */
+  /** The name of a host, or its ID in hexadecimal if it is not listed. */
   public String hostName(long host) {
     ConnectionPool pool = pools.get(host);
     return pool == null ? Long.toHexString(host) : pool.hostName();
   }
 
   /**
-   * Whether the pool may open one more connection; another pool's idle one may be closed for it.
+   * Whether the pool may open one more connection. If the limit is reached, an idle connection of
+   * another pool is closed to make room.
    */
   boolean mayOpen(ConnectionPool pool) {
     Moment now = loop.now();
@@ -174,8 +178,8 @@
   }
 
   /**
-   * The process has no file descriptor left: nothing is opened for a moment, and the connection
-   * idle for longest is closed.
+   * Called when the process has run out of file descriptors: opens no connections for a short time
+   * and closes the one that has been idle the longest.
    */
   void descriptorsExhausted() {
     budget.descriptorsExhausted(loop.now());
@@ -195,7 +199,10 @@
     }
   }
 
-  /** An even part for each host, so that one in trouble does not take all. */
+  /**
+   * Maximum connections to each host: twice an equal share of the total, within fixed bounds, so
+   * that one host with problems cannot take all connections.
+   */
   int maxPerHost() {
     int evenPart = 2 * limits.maxConnections() / Math.max(1, pools.size());
     return Math.max(MIN_PER_HOST, Math.min(MAX_PER_HOST, evenPart));
--- a/src/main/java/flintlead/platform/upstream/ConnectionState.java
+++ b/src/main/java/flintlead/platform/upstream/ConnectionState.java
@@ -1,15 +1,15 @@
 package flintlead.platform.upstream;
 
-/** Where a {@link HostConnection} is between being opened and its end. */
+/** Lifecycle states of a {@link HostConnection}. */
 enum ConnectionState {
-  /** The TCP handshake is under way: requests wait. */
+  /** The TCP handshake is in progress; requests wait. */
   CONNECTING,
   /** Requests may be written. */
   OPEN,
-  /** Ended for good. */
+  /** Closed permanently. */
   CLOSED;
 
-  /** Whether the transition from this state to the next is allowed. */
+  /** Whether the transition from this state to {@code next} is allowed. */
   boolean mayBecome(ConnectionState next) {
     return this == CONNECTING && next != CONNECTING || this == OPEN && next == CLOSED;
   }
--- a/src/main/java/flintlead/platform/upstream/HostConnection.java
+++ b/src/main/java/flintlead/platform/upstream/HostConnection.java
@@ -15,14 +15,14 @@
 import java.util.Map;
 
 /**
- * One connection to a host and the requests in flight on it. It belongs to the pool it was opened
- * for and ends with it. Used on the event loop only.
+ * One connection to a host and the requests in flight on it. Belongs to the pool that opened it.
+ * Used on the event loop only.
  */
 final class HostConnection implements StreamListener, HostResponseParser.Listener {
 
   /**
-   * How long a response that has begun may stop before the connection is taken for cut off: hosts
-   * write responses in one piece.
+   * Maximum pause in the middle of a response. Hosts write each response in one piece, so a longer
+   * pause means that the response was cut off.
    */
   private static final Span PARTIAL_RESPONSE_TIMEOUT = Span.ofMillis(250);
 
@@ -35,10 +35,13 @@
   private boolean opened;
   private Stream stream;
 
-  /** The last request was withdrawn and nothing was received since: no new request is written. */
+  /**
+   * Set when a request is withdrawn and nothing was received since that request was written;
+   * cleared when bytes arrive. No new request is written while it is set.
+   */
   private boolean suspect;
 
-  /** No new request is written; ends with its last response. */
+  /** Whether no new request is written any more; the connection closes after its last response. */
   private boolean draining;
 
   private Moment lastUsedAt;
@@ -51,7 +54,7 @@
     this.lastReceivedAt = lastUsedAt;
   }
 
-  /** Gives the connection its stream, before the first event of the stream. */
+  /** Sets the connection's stream, before the stream's first event. */
   void attach(Stream connecting) {
     stream = connecting;
   }
@@ -64,17 +67,17 @@
     return state == ConnectionState.CONNECTING;
   }
 
-  /** Whether it opened at some time, also where it is closed now. */
+  /** Whether the connection has ever been open, even if it is closed now. */
   boolean hasOpened() {
     return opened;
   }
 
-  /** Whether it is open with no request in flight and no partial response. */
+  /** Whether the connection is open, with no request in flight and no partial response. */
   boolean isIdle() {
     return isOpen() && inFlight.isEmpty() && !parser.hasPartialResponse();
   }
 
-  /** Whether a new request may be written to it. */
+  /** Whether any new request may be written to this connection. */
   boolean acceptsRequests() {
     return isOpen()
         && !suspect
@@ -84,36 +87,39 @@
         && stream.pendingBytes() == 0;
   }
 
-  /** Whether this request may be written to it. */
+  /**
+   * Whether this request may be written to this connection. Its tag must be new to the connection.
+   */
   boolean accepts(Request request) {
     return acceptsRequests() && !inFlight.containsKey(request.tag()) && !request.tagWasUsedOn(this);
   }
 
-  /** Requests in flight. */
+  /** Number of requests in flight. */
   int load() {
     return inFlight.size();
   }
 
-  /** When a request was last written or answered. */
+  /** When a request or command was last written or a request was last answered. */
   Moment lastUsedAt() {
     return lastUsedAt;
   }
 
-  /** Whether bytes wait in the send buffer. */
+  /** Whether the send buffer contains unsent bytes. */
   boolean hasUnsentBytes() {
     return isOpen() && stream.pendingBytes() > 0;
   }
 
   /**
-   * Writes the request if it may leave, and hands it to the kernel before anything else happens, so
-   * that what was checked for it still holds; its response comes on this connection.
+   * Writes the request if it may be sent, and hands it to the kernel before anything else happens,
+   * so that the checked conditions still hold. The response arrives on this connection.
    *
-   * @return whether it may leave; nothing was written where it may not
+   * @return {@code SEND} if the request was written; otherwise the reason why nothing was written
    */
   SendVerdict send(Request request, PollClock polls) {
     ByteBuf bytes = Unpooled.buffer(TYPICAL_COMMAND_BYTES);
     request.write(bytes);
-    // After all that takes time: between this check and the system call nothing else is done.
+    // Everything that takes time is done before this check, so that the system call follows at
+    // once.
     Moment clock = polls.readClock();
     SendVerdict verdict = request.maySend(polls.deliveredUpTo(), clock);
     if (verdict == SendVerdict.SEND && request.isNewWork()) {
@@ -143,8 +149,9 @@
   }
 
   /**
-   * Stops waiting for a response and sends the host a cancellation. A connection that has been
-   * silent since the request was written gets no new request.
+   * Stops waiting for a response and sends the host a cancellation if the request is cancellable.
+   * If nothing was received since the request was written, no new request is written to this
+   * connection.
    */
   void cancel(Request request) {
     if (inFlight.remove(request.tag()) == null || state == ConnectionState.CLOSED) {
@@ -159,7 +166,7 @@
     closeIfDone();
   }
 
-  /** No new request is written; closes after the last response. */
+  /** Writes no new requests from now on and closes the connection after the last response. */
   void drain() {
     draining = true;
     closeIfDone();
@@ -175,7 +182,7 @@
     }
   }
 
-  /** Closes an idle connection after what was written has left. */
+  /** Closes an idle connection once all written bytes were sent. */
   void close() {
     if (state != ConnectionState.CLOSED) {
       become(ConnectionState.CLOSED);
@@ -185,19 +192,19 @@
     }
   }
 
-  /** Gives up a connection that has not opened in time. */
+  /** Aborts a connection that has not opened in time. */
   void connectTimedOut() {
     if (isConnecting()) {
       end(CloseReason.CONNECT_FAILED);
     }
   }
 
-  /** Breaks the connection off: what is in its send buffer must not arrive any more. */
+  /** Aborts the connection, so that the bytes in its send buffer do not reach the host. */
   void discardUnsentBytes() {
     end(CloseReason.BROKEN);
   }
 
-  /** Ends the connection where a response was cut off in the middle. */
+  /** Ends the connection if a response was cut off in the middle. */
   void checkPartialResponse(Moment now) {
     if (isOpen()
         && parser.hasPartialResponse()
@@ -220,7 +227,8 @@
 
   private void become(ConnectionState next) {
     if (!state.mayBecome(next)) {
-      throw new IllegalStateException("connection can't go from " + state + " to " + next);
+      throw new IllegalStateException(
+          "connection: invalid state transition from " + state + " to " + next);
     }
     state = next;
   }
@@ -264,11 +272,11 @@
   public void response(String tag, String status, ResponseFields fields, ByteBuf body) {
     Outcome outcome = HostProtocol.outcomeOf(status);
     if (outcome == null) {
-      malformed("an unknown status");
+      malformed("response with an unknown status word");
       return;
     }
-    // A response under an unknown tag, or a duplicate, is ignored: the other responses on this
-    // connection are still complete.
+    // A response with an unknown tag, or a duplicate, is ignored: it is well-formed, so the
+    // responses after it on this connection can still be parsed.
     Request request = inFlight.remove(tag);
     if (request != null) {
       lastUsedAt = pool.now();
--- a/src/main/java/flintlead/platform/upstream/HostConnections.java
+++ b/src/main/java/flintlead/platform/upstream/HostConnections.java
@@ -5,7 +5,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The connections of one pool, open or being opened, and the choice among them. */
+/**
+ * The connections of one pool, open or being opened, and the choice of a connection for a request.
+ */
 final class HostConnections {
 
   private final List<HostConnection> connections = new ArrayList<>();
@@ -17,7 +19,7 @@
     connecting++;
   }
 
-  /** One that was being opened has opened. */
+  /** Called when a connection has opened. */
   void opened() {
     connecting--;
   }
@@ -30,7 +32,7 @@
     }
   }
 
-  /** Connections open or being opened. */
+  /** Number of connections, open or being opened. */
   int size() {
     return connections.size();
   }
@@ -39,7 +41,7 @@
     return connections.isEmpty();
   }
 
-  /** Connections being opened. */
+  /** Number of connections being opened. */
   int connecting() {
     return connecting;
   }
@@ -48,17 +50,20 @@
     return connections.stream().anyMatch(HostConnection::isOpen);
   }
 
-  /** A copy that stays as it is while connections end. */
+  /** A copy that does not change when connections end. */
   List<HostConnection> copy() {
     return List.copyOf(connections);
   }
 
-  /** The idle connection used last that accepts the request; null where there is none. */
+  /** The most recently used idle connection that accepts the request; null if there is none. */
   HostConnection idleFor(Request request) {
     return best(request, true);
   }
 
-  /** The connection with the fewest requests that accepts this one; null where there is none. */
+  /**
+   * The connection with the fewest requests in flight that accepts the request; null if there is
+   * none.
+   */
   HostConnection leastLoadedFor(Request request) {
     return best(request, false);
   }
@@ -80,7 +85,7 @@
         || connection.load() == best.load() && connection.lastUsedAt().isAfter(best.lastUsedAt());
   }
 
-  /** The first connection that accepts requests; null where there is none. */
+  /** The first connection that accepts requests; null if there is none. */
   HostConnection anyAccepting() {
     for (HostConnection connection : connections) {
       if (connection.acceptsRequests()) {
@@ -90,7 +95,7 @@
     return null;
   }
 
-  /** Closes connections that have nothing in flight. */
+  /** Closes connections that have no request in flight. */
   void closeIdle() {
     for (HostConnection connection : copy()) {
       if (connection.isIdle()) {
@@ -99,7 +104,7 @@
     }
   }
 
-  /** Breaks off connections that hold bytes which must not arrive any more. */
+  /** Aborts connections with unsent bytes, so that these bytes do not reach the host. */
   void discardUnsentBytes() {
     for (HostConnection connection : copy()) {
       if (connection.hasUnsentBytes()) {
@@ -108,7 +113,10 @@
     }
   }
 
-  /** Closes connections that are idle for long or cut off in the middle of a response. */
+  /**
+   * Closes connections that have been idle for longer than the timeout, and those on which a
+   * response was cut off in the middle.
+   */
   void maintain(Moment now, Span idleTimeout) {
     for (HostConnection connection : copy()) {
       connection.checkPartialResponse(now);
@@ -118,7 +126,7 @@
     }
   }
 
-  /** The connection that has been idle for longest; null where none is idle. */
+  /** The connection that has been idle the longest; null if none is idle. */
   HostConnection longestIdle() {
     HostConnection longest = null;
     for (HostConnection connection : connections) {
--- a/src/main/java/flintlead/platform/upstream/HostProofs.java
+++ b/src/main/java/flintlead/platform/upstream/HostProofs.java
@@ -13,9 +13,9 @@
 import java.util.List;
 
 /**
- * The lease of one pool's host: tells {@link HostLeases} what the host's answers prove, and holds
- * the requests that wait until a probe has renewed the lease. One probe at a time. Used on the
- * event loop only.
+ * Renews the lease of one pool's host: reports the host's responses to {@link HostLeases}, and
+ * holds the requests that wait until a probe has renewed the lease. At most one probe is in flight.
+ * Used on the event loop only.
  */
 final class HostProofs {
 
@@ -28,7 +28,7 @@
   private final Deque<Request> waiting = new ArrayDeque<>();
   private Probe probe;
 
-  /** Makes the tags of probes differ from each other. */
+  /** Number of probes so far; makes their tags unique. */
   private long probes;
 
   HostProofs(ConnectionPool pool, long host, HostSendGuard guard) {
@@ -38,26 +38,32 @@
     this.leases = guard.leases();
   }
 
-  // ---- what may leave ----
+  // ---- checks before and after sending ----
 
-  /** Whether new work may leave at that time. */
+  /** Whether new work may be sent at this time. */
   SendVerdict maySend(Moment clock) {
     return guard.maySend(host, clock);
   }
 
-  /** New work was handed to the kernel, at that time at the latest. */
+  /**
+   * Checks the lease once more after new work was handed to the kernel, at {@code clock} at the
+   * latest.
+   */
   void sent(String id, Moment clock) {
     guard.sent(host, id, clock);
   }
 
-  /** Whether what has left may still arrive: once the lease has ended it must not. */
+  /**
+   * Whether the lease is valid now. Once it has ended, requests that were already written must not
+   * reach the host any more either.
+   */
   boolean holds() {
     return leases.holds(host, pool.now());
   }
 
-  // ---- what answers prove ----
+  // ---- lease updates ----
 
-  /** The host answered new work that was sent at that time. */
+  /** Updates the lease after the host answered new work that was sent at {@code sentAt}. */
   void answered(Outcome outcome, Moment sentAt) {
     if (!pool.isActive()) {
       return;
@@ -69,7 +75,7 @@
     }
   }
 
-  /** No connection to the host could be opened. */
+  /** Called when no connection to the host could be opened. */
   void unreachable() {
     if (pool.isActive()) {
       leases.unreachable(host, pool.now());
@@ -77,8 +83,9 @@
   }
 
   /**
-   * The last connection to the host broke. While the list can't tell of restarts the host is asked
-   * at once: a process that has ended refuses connections until its successor has started.
+   * Called when the last connection to the host broke. If the host list is not current, it cannot
+   * report a restart, so the host is probed at once: a process that has ended refuses connections
+   * only until its successor has started.
    */
   void lastConnectionBroke() {
     if (pool.isActive() && probe == null && !leases.isListCurrent(pool.now())) {
@@ -86,7 +93,7 @@
     }
   }
 
-  // ---- requests that wait for a proof ----
+  // ---- requests that wait for a probe ----
 
   boolean isEmpty() {
     return waiting.isEmpty() && probe == null;
@@ -96,7 +103,10 @@
     return waiting.size();
   }
 
-  /** Holds the request until a probe has renewed the lease; it is ended where none can. */
+  /**
+   * Holds the request until a probe has renewed the lease. If no probe may be sent, all held
+   * requests end as unproven.
+   */
   void await(Request request) {
     waiting.add(request);
     if (probe == null) {
@@ -145,21 +155,21 @@
     takeWaiting().forEach(request -> pool.endLater(request, outcome));
   }
 
-  /** Takes out all that wait, where the host no longer gets anything. */
+  /** Removes and returns all requests that wait for a probe. */
   List<Request> takeWaiting() {
     List<Request> taken = List.copyOf(waiting);
     waiting.clear();
     return taken;
   }
 
-  /** Asks whether the host is alive and takes new work. */
+  /** Asks whether the host is alive and accepts new work. */
   private final class Probe extends Request {
 
     Probe(String tag) {
       super(tag, null);
     }
 
-    /** When it was sent; the present where it was not. */
+    /** When the probe was sent; the current time if it was not sent. */
     Moment askedAt() {
       return mayHaveLeft() ? sentAt() : pool.now();
     }
--- a/src/main/java/flintlead/platform/upstream/HostProtocol.java
+++ b/src/main/java/flintlead/platform/upstream/HostProtocol.java
@@ -6,7 +6,7 @@
 
 /**
  * The commands of the host protocol and the status words of its responses. A command is a line that
- * ends in CR LF, for {@code fire} followed by the body and another CR LF.
+ * ends in CR LF; {@code fire} is followed by the body and another CR LF.
  */
 public final class HostProtocol {
 
@@ -18,8 +18,8 @@
   /**
    * Appends the command that runs an invocation.
    *
-   * @param limitMillis after which the gateway no longer waits for the response
-   * @param idempotencyKey null where the invocation has none
+   * @param limitMillis time after which the gateway no longer waits for the response
+   * @param idempotencyKey null if the invocation has none
    */
   public static void writeFire(
       ByteBuf out,
@@ -47,38 +47,41 @@
     out.writeBytes(body).writeByte('\r').writeByte('\n');
   }
 
-  /** Appends the command that asks the host to hold at least so many instances of a function. */
+  /**
+   * Appends the command that asks the host to keep at least {@code instances} instances of a
+   * function loaded.
+   */
   public static void writeProvision(ByteBuf out, String tag, long function, int instances) {
     writeLine(out, "provision " + tag + " item=" + hex(function) + ",units=" + instances);
   }
 
-  /** Appends the command that asks for the host's load report. */
+  /** Appends the command that requests the host's load report. */
   public static void writeProbe(ByteBuf out, String tag) {
     writeLine(out, "busy " + tag);
   }
 
-  /** Appends the command that asks whether the host is alive and takes new work. */
+  /** Appends the command that asks whether the host is alive and accepts new work. */
   static void writeAlivenessProbe(ByteBuf out, String tag) {
     writeLine(out, "there " + tag);
   }
 
-  /** The command, without a response, that lets the host unload a function. */
+  /** The command that allows the host to unload a function. It has no response. */
   public static String retire(long function) {
     return "retire " + hex(function);
   }
 
-  /** The command, without a response, that cancels the request of that tag. */
+  /** The command that cancels the request with this tag. It has no response. */
   static String cancel(String tag) {
     return "never_mind " + tag;
   }
 
-  /** Appends a line and its end. */
+  /** Appends a line and its terminator, CR LF. */
   static void writeLine(ByteBuf out, String line) {
     out.writeCharSequence(line, StandardCharsets.US_ASCII);
     out.writeByte('\r').writeByte('\n');
   }
 
-  /** The outcome that a response's status word stands for; null for an unknown word. */
+  /** The outcome that a response's status word stands for; null if the word is unknown. */
   static Outcome outcomeOf(String status) {
     return switch (status) {
       case "200", "alive" -> Outcome.OK;
--- a/src/main/java/flintlead/platform/upstream/HostResponseParser.java
+++ b/src/main/java/flintlead/platform/upstream/HostResponseParser.java
@@ -5,9 +5,10 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Parses what a host writes into responses: {@code TAG STATUS FIELDS LENGTH}, CR LF, so many bytes,
- * CR LF. Whatever is malformed ends the parser: after a wrong length nothing that follows can be
- * told from a body, and would be taken for another request's response.
+ * Parses the bytes from a host into responses. A response is a line {@code TAG STATUS FIELDS
+ * LENGTH}, CR LF, a body of LENGTH bytes, and CR LF. Malformed input ends the parser: after a wrong
+ * length the parser cannot tell where the next response begins, and might take part of a body for
+ * the response to another request.
  */
 public final class HostResponseParser {
 
@@ -17,13 +18,13 @@
   private static final int WORDS = 4;
   private static final int MIN_BUFFER = 256;
 
-  /** What is parsed. */
+  /** Receives the parsed responses. */
   public interface Listener {
 
-    /** A complete response; the body is valid only until this returns. */
+    /** A complete response was parsed. The body is valid only until this method returns. */
     void response(String tag, String status, ResponseFields fields, ByteBuf body);
 
-    /** The input is malformed; nothing more is parsed. */
+    /** The input is malformed; no more of it is parsed. */
     void malformed(String reason);
   }
 
@@ -33,25 +34,25 @@
   private final int maxBody;
   private final Listener sink;
 
-  /** Bytes of a response that is incomplete. */
+  /** Bytes of an incomplete response. */
   private ByteBuf partial = Unpooled.EMPTY_BUFFER;
 
   private boolean ended;
 
-  /** The first line of a response whose body is still to come; null where none is. */
+  /** The first line of a response whose body is incomplete; null if there is no such response. */
   private Head head;
 
   /**
-   * Creates a parser at the beginning of a response.
+   * Creates a parser that expects the beginning of a response.
    *
-   * @param maxBody bytes of a body at most
+   * @param maxBody maximum bytes of a body
    */
   public HostResponseParser(int maxBody, Listener sink) {
     this.maxBody = maxBody;
     this.sink = sink;
   }
 
-  /** Parses the bytes; the buffer stays the caller's. */
+  /** Parses the bytes. The caller keeps ownership of the buffer. */
   public void feed(ByteBuf bytes) {
     if (ended) {
       return;
@@ -74,24 +75,24 @@
     }
   }
 
-  /** Whether a response has begun that is incomplete. */
+  /** Whether an incomplete response has been received. */
   public boolean hasPartialResponse() {
     return !ended && (head != null || partial.isReadable());
   }
 
-  /** Parses nothing any more. */
+  /** Stops parsing; further input is ignored. */
   public void end() {
     ended = true;
   }
 
-  /** Parses one response; false where it is incomplete or is malformed. */
+  /** Parses one response; returns false if it is incomplete or malformed. */
   private boolean parseResponse(ByteBuf in) {
     if (head == null && !parseLine(in) || in.readableBytes() < head.bodyLength + 2) {
       return false;
     }
     int end = in.readerIndex() + head.bodyLength;
     if (in.getByte(end) != '\r' || in.getByte(end + 1) != '\n') {
-      return fail("a length that does not fit");
+      return fail("response body is not followed by CR LF");
     }
     ByteBuf body = in.slice(in.readerIndex(), head.bodyLength);
     Head response = head;
@@ -105,20 +106,22 @@
     int start = in.readerIndex();
     int end = in.indexOf(start, Math.min(in.writerIndex(), start + MAX_LINE), (byte) '\n');
     if (end < 0) {
-      return in.readableBytes() < MAX_LINE ? false : fail("a line that does not end");
+      return in.readableBytes() < MAX_LINE
+          ? false
+          : fail("first line of a response exceeds " + MAX_LINE + " bytes");
     }
     if (end == start || in.getByte(end - 1) != '\r') {
-      return fail("a line without CR LF");
+      return fail("first line of a response ends in LF without CR");
     }
     head = parseHead(in.toString(start, end - 1 - start, StandardCharsets.ISO_8859_1));
     if (head == null) {
-      return fail("a line that is no response");
+      return fail("first line of a response is not TAG STATUS FIELDS LENGTH, or exceeds a limit");
     }
     in.readerIndex(end + 1);
     return true;
   }
 
-  /** The first line of a response; null where it is malformed. */
+  /** Parses the first line of a response; returns null if it is malformed. */
   private Head parseHead(String line) {
     String[] words = line.split(" ", WORDS + 1);
     if (words.length != WORDS
--- a/src/main/java/flintlead/platform/upstream/LinkLimits.java
+++ b/src/main/java/flintlead/platform/upstream/LinkLimits.java
@@ -3,14 +3,15 @@
 import flintlead.time.Span;
 
 /**
- * Bounds of the connections to hosts.
+ * Limits of the connections to hosts.
  *
- * @param maxConnections to all hosts together
- * @param maxRequestsPerConnection requests in flight on one connection
- * @param maxResponseBytes bytes of a response's body
- * @param connectTimeout how long a connection may take to open
- * @param hostIdleTimeout after which the host closes an idle connection
- * @param drainGrace after which a draining host must receive nothing new
+ * @param maxConnections maximum connections to all hosts together
+ * @param maxRequestsPerConnection maximum requests in flight on one connection
+ * @param maxResponseBytes maximum bytes of a response's body
+ * @param connectTimeout maximum time for opening a connection
+ * @param hostIdleTimeout time after which the host closes an idle connection
+ * @param drainGrace time after the beginning of a drain during which the host may still receive new
+ *     requests
  */
 public record LinkLimits(
     int maxConnections,
--- a/src/main/java/flintlead/platform/upstream/ListedStatus.java
+++ b/src/main/java/flintlead/platform/upstream/ListedStatus.java
@@ -1,36 +1,38 @@
 package flintlead.platform.upstream;
 
-/** What the endpoint list says of a pool's host, and which of its drains is under way. */
+/**
+ * The status of a pool's host in the host list. Numbers the drains of the host, to tell them apart.
+ */
 final class ListedStatus {
 
   private enum Status {
     ACTIVE,
-    /** Gets no new request; may become active again. */
+    /** Receives no new requests; may become active again. */
     DRAINING,
-    /** Not listed any more, for good. */
+    /** Removed from the list permanently. */
     REMOVED
   }
 
   private Status status = Status.ACTIVE;
 
-  /** Counts the drains: a host may drain, become active and drain again. */
+  /** Number of drains so far: a host may drain, become active and drain again. */
   private int drains;
 
   boolean isActive() {
     return status == Status.ACTIVE;
   }
 
-  /** The host takes part again. */
+  /** Sets the status to active. */
   void activate() {
     status = Status.ACTIVE;
   }
 
-  /** The host drains; returns whether a drain begins with that. */
+  /** Sets the status to draining if it is active; returns whether this begins a drain. */
   boolean drain() {
     return isActive() && begin(Status.DRAINING);
   }
 
-  /** The host has left the list; returns whether a drain begins with that. */
+  /** Sets the status to removed; returns whether this begins a drain. */
   boolean remove() {
     boolean wasActive = isActive();
     status = Status.REMOVED;
@@ -43,12 +45,12 @@
     return true;
   }
 
-  /** The number of the drain that is under way, or of the last one. */
+  /** The number of the current drain, or of the last one. */
   int drainNumber() {
     return drains;
   }
 
-  /** Whether that drain is still under way. */
+  /** Whether the drain with this number is still in progress. */
   boolean isInDrain(int number) {
     return !isActive() && drains == number;
   }
--- a/src/main/java/flintlead/platform/upstream/Request.java
+++ b/src/main/java/flintlead/platform/upstream/Request.java
@@ -7,29 +7,29 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * One request to a host, from being handed to its {@link ConnectionPool} until it has ended. Used
- * on the event loop only.
+ * One request to a host, from when it is passed to its {@link ConnectionPool} until it has ended.
+ * Used on the event loop only.
  */
 public abstract class Request {
 
   private final String tag;
 
-  /** An earlier request under the same tag; null where there is none. */
+  /** An earlier request with the same tag; null if there is none. */
   private final Request previous;
 
   private RequestState state = RequestState.QUEUED;
 
-  /** The connection it was written to; null while nothing of it has left. */
+  /** The connection that the request was written to; null if it was not written yet. */
   private HostConnection connection;
 
   private Moment sentAt;
   private int failedConnects;
 
   /**
-   * Creates a request that has not been handed to a pool yet.
+   * Creates a request that has not been passed to a pool yet.
    *
-   * @param tag the word under which the host answers
-   * @param previous the last request under the same tag; null for the first
+   * @param tag identifies the request in the host's response
+   * @param previous the last request with the same tag; null if there is none
    */
   protected Request(String tag, Request previous) {
     this.tag = tag;
@@ -37,23 +37,26 @@
   }
 
   /**
-   * Appends the complete command to the buffer. Called once, when a connection takes the request.
+   * Appends the complete command to the buffer. Called again if the request could not be sent after
+   * an earlier call.
    */
   protected abstract void write(ByteBuf out);
 
   /**
-   * Delivers the outcome; never called within the call that started the request, and at most once.
+   * Delivers the outcome. Called at most once, and never within the call that passed the request to
+   * a pool.
    *
-   * @param fields of the response; {@link ResponseFields#DEFAULT} where there is none
-   * @param body of the response, valid only until this returns; null where there is none
+   * @param fields fields of the response; {@link ResponseFields#NONE} if there is no response
+   * @param body body of the response, valid only until this method returns; null if there is no
+   *     response
    */
   protected abstract void ended(Outcome outcome, ResponseFields fields, ByteBuf body);
 
   /**
-   * Whether the request may leave now.
+   * Whether the request may be sent now.
    *
-   * @param deliveredUpTo up to when the events of all sockets were delivered
-   * @param clock the present time
+   * @param deliveredUpTo time up to which all socket events were delivered
+   * @param clock the current time
    */
   protected SendVerdict maySend(Moment deliveredUpTo, Moment clock) {
     return InvocationGuard.isRecent(deliveredUpTo, clock)
@@ -61,22 +64,29 @@
         : SendVerdict.LOOK_FIRST;
   }
 
-  /** The request was handed to the kernel, at this time at the latest. */
+  /**
+   * Called after the request was handed to the kernel.
+   *
+   * @param clock the time after that
+   */
   protected void handedOver(Moment clock) {
-    // Nothing is checked of a request that belongs to no client.
+    // Only requests on behalf of a client are checked after sending.
   }
 
-  /** Whether it brings the host new work, so that the host's lease must hold when it leaves. */
+  /**
+   * Whether the request is new work for the host, which may be sent only while the host's lease is
+   * valid.
+   */
   protected boolean isNewWork() {
     return false;
   }
 
-  /** Whether the host is sent a cancellation when the request is withdrawn. */
+  /** Whether the host is sent a cancellation when the request is withdrawn after it was sent. */
   protected boolean isCancellable() {
     return true;
   }
 
-  /** The word under which the host answers. */
+  /** Identifies the request in the host's response. */
   protected final String tag() {
     return tag;
   }
@@ -86,7 +96,9 @@
     return state.isFinal();
   }
 
-  /** Whether bytes of it may have left; until then it is proven that it did not run. */
+  /**
+   * Whether the request was written to a connection. Until then it is certain that it did not run.
+   */
   final boolean mayHaveLeft() {
     return connection != null;
   }
@@ -100,8 +112,8 @@
   }
 
   /**
-   * Whether an earlier request of the same tag went out on the connection: a duplicate of its
-   * response would be taken for the response to this one.
+   * Whether an earlier request with the same tag was written to the connection. A duplicate of the
+   * response to that request would be taken for the response to this one.
    */
   final boolean tagWasUsedOn(HostConnection other) {
     for (Request earlier = previous; earlier != null; earlier = earlier.previous) {
@@ -112,7 +124,10 @@
     return false;
   }
 
-  /** Adds to the connections that failed to open while it waited, and returns their sum. */
+  /**
+   * Adds to the number of connections that failed to open while this request was queued, and
+   * returns the sum.
+   */
   final int addFailedConnects(int count) {
     failedConnects += count;
     return failedConnects;
@@ -132,14 +147,14 @@
     become(RequestState.DECIDED);
   }
 
-  /** Suppresses the outcome. Nothing happens where the request is over already. */
+  /** Suppresses the outcome. Has no effect if the request has ended already. */
   final void withdrawn() {
     if (!state.isFinal()) {
       become(RequestState.WITHDRAWN);
     }
   }
 
-  /** Delivers the outcome unless the request is over already. */
+  /** Delivers the outcome, unless the request has ended or was withdrawn. */
   final void end(Outcome outcome, ResponseFields fields, ByteBuf body) {
     if (!state.isFinal()) {
       become(RequestState.ENDED);
@@ -149,7 +164,8 @@
 
   private void become(RequestState next) {
     if (!state.mayBecome(next)) {
-      throw new IllegalStateException("request " + tag + " can't go from " + state + " to " + next);
+      throw new IllegalStateException(
+          "request " + tag + ": invalid state transition from " + state + " to " + next);
     }
     state = next;
   }
--- a/src/main/java/flintlead/platform/upstream/RequestState.java
+++ b/src/main/java/flintlead/platform/upstream/RequestState.java
@@ -1,26 +1,26 @@
 package flintlead.platform.upstream;
 
-/** Where a {@link Request} is between being handed to its pool and its end. */
+/** Lifecycle states of a {@link Request}. */
 enum RequestState {
-  /** Waits for a connection: nothing of it has left this process. */
+  /** Waits for a connection; nothing of it was sent. */
   QUEUED,
   /** Written to a connection: the host may have received it. */
   SENT,
   /** Its connection broke; the pool checks whether the host is still alive. */
   UNSETTLED,
-  /** Its outcome is known and is delivered in an event of its own. */
+  /** Its outcome is known and will be delivered in a separate event. */
   DECIDED,
   /** Its outcome was delivered. */
   ENDED,
-  /** Given up by its owner: no outcome is delivered. */
+  /** Withdrawn by its owner; no outcome is delivered. */
   WITHDRAWN;
 
-  /** Whether nothing more can happen to the request. */
+  /** Whether no further transition is possible. */
   boolean isFinal() {
     return this == ENDED || this == WITHDRAWN;
   }
 
-  /** Whether the transition from this state to the next is allowed. */
+  /** Whether the transition from this state to {@code next} is allowed. */
   boolean mayBecome(RequestState next) {
     return switch (this) {
       case QUEUED -> next == SENT || next == DECIDED || next == WITHDRAWN;
--- a/src/main/java/flintlead/platform/upstream/ResponseFields.java
+++ b/src/main/java/flintlead/platform/upstream/ResponseFields.java
@@ -1,7 +1,8 @@
 package flintlead.platform.upstream;
 
 /**
- * The fields of a host's response: {@code name=value,name=value}, or {@code -} for none. Immutable.
+ * The fields of a host's response: {@code name=value,name=value}, or {@code -} if there are none.
+ * Immutable.
  */
 public final class ResponseFields {
 
@@ -18,7 +19,7 @@
     this.text = text;
   }
 
-  /** The value of the first field of that name; null where there is none. */
+  /** The value of the first field with this name; null if there is none. */
   public String get(String name) {
     int from = 0;
     while (from < text.length()) {
@@ -33,7 +34,10 @@
     return null;
   }
 
-  /** An integer of at most nine digits; the other value where there is none. */
+  /**
+   * The value of a field as an integer of at most nine digits; {@code otherwise} if there is no
+   * such value.
+   */
   public int number(String name, int otherwise) {
     String value = get(name);
     if (value == null || value.isEmpty() || value.length() > MAX_DIGITS) {
@@ -47,14 +51,14 @@
     return Integer.parseInt(value);
   }
 
-  /** Whether the response carries a load report. */
+  /** Whether the response contains a load report. */
   public boolean hasLoadReport() {
     return get(LOAD_REPORT) != null;
   }
 
   /**
-   * The value of that name in the load report, as in {@code meter=inflight:7;util:0.61}; NaN where
-   * there is none.
+   * The value with this name in the load report, for example in {@code meter=inflight:7;util:0.61};
+   * NaN if there is none.
    */
   public float loadReportValue(String name) {
     String report = get(LOAD_REPORT);
--- a/src/main/java/flintlead/platform/upstream/UnsettledRequests.java
+++ b/src/main/java/flintlead/platform/upstream/UnsettledRequests.java
@@ -6,8 +6,8 @@
 import java.util.function.BiConsumer;
 
 /**
- * Requests whose connection broke while they were in flight. Whether the host died or only the
- * connection broke is not known yet; it decides their outcome.
+ * Requests that were in flight on a connection that broke. Their outcome depends on whether the
+ * host is still alive, which is not known yet.
  */
 final class UnsettledRequests {
 
@@ -17,7 +17,7 @@
   /**
    * Creates an empty set.
    *
-   * @param decide called with each request once its outcome is known
+   * @param decide called with each request and its outcome, once the outcome is known
    */
   UnsettledRequests(BiConsumer<Request, Outcome> decide) {
     this.decide = decide;
@@ -28,7 +28,7 @@
     requests.addAll(unanswered);
   }
 
-  /** The owner has withdrawn it. */
+  /** Removes a request that its owner has withdrawn. */
   void remove(Request request) {
     requests.remove(request);
   }
@@ -37,7 +37,10 @@
     return requests.isEmpty();
   }
 
-  /** The host is alive: only the connections broke. The requests may have run. */
+  /**
+   * The host is alive and only connections broke: ends all requests with {@link
+   * Outcome#CONNECTION_LOST}. They may have run.
+   */
   void hostIsAlive() {
     if (!requests.isEmpty()) {
       List<Request> lost = List.copyOf(requests);
@@ -46,12 +49,15 @@
     }
   }
 
-  /** The host is taken for dead, as far as all requests here are concerned. */
+  /** The host counts as dead: ends all requests with {@link Outcome#RESET}. */
   void hostIsDead() {
     hostIsDead(List.copyOf(requests));
   }
 
-  /** The host is taken for dead, as far as those of these requests that are still unsettled. */
+  /**
+   * The host counts as dead for these requests: ends those that are still unsettled with {@link
+   * Outcome#RESET}.
+   */
   void hostIsDead(List<Request> affected) {
     for (Request request : affected) {
       if (requests.remove(request)) {
--- a/src/test/java/flintlead/platform/upstream/ConnectionPoolTest.java
+++ b/src/test/java/flintlead/platform/upstream/ConnectionPoolTest.java
@@ -17,11 +17,12 @@
 import org.slf4j.helpers.NOPLogger;
 
 /**
- * The outcome of a request for each way in which connections end; in virtual time, without sockets.
+ * The outcome of requests for each way in which their connection can end. Runs in virtual time,
+ * without sockets.
  */
 class ConnectionPoolTest {
 
-  /** A request that has ended. */
+  /** A request that has ended, with its outcome. */
   private record Ended(String tag, Outcome outcome) {}
 
   private final VirtualTransport transport = new VirtualTransport();
@@ -72,7 +73,7 @@
     assertEquals(
         List.of(new Ended("a", Outcome.CONNECTION_LOST)),
         ends,
-        "whoever resets a new connection has accepted it");
+        "a host that resets a new connection has accepted it, so it is alive");
     ask(pool, "b");
     connections.get(2).breaks("no connection: Connection reset by peer");
     connections.get(3).open().receives("b 200 - 0\r\n\r\n");
@@ -102,7 +103,7 @@
   void aRequestThatNeverLeftIsProvenNotToHaveRun() {
     ConnectionPool pool = pool();
     ask(pool, "a");
-    assertTrue(pool.withdraw(ask(pool, "b")), "still waiting");
+    assertTrue(pool.withdraw(ask(pool, "b")), "the request is still queued");
     connections.get(0).breaks("no connection: Connection refused");
     connections.get(1).breaks("no connection: Connection refused");
     assertEquals(List.of(new Ended("a", Outcome.CONNECT_FAILED)), ends);
@@ -180,7 +181,7 @@
     connections.get(1).open();
     assertTrue(connections.get(1).written.isEmpty());
     transport.run(Span.ofMillis(501));
-    assertTrue(connections.get(0).aborted, "before the grace is over");
+    assertTrue(connections.get(0).aborted, "aborted before the grace period is over");
     assertEquals(
         List.of(new Ended("b", Outcome.CONNECT_FAILED), new Ended("a", Outcome.RESET)), ends);
   }
@@ -214,7 +215,7 @@
         connections.get(i).open();
       }
     }
-    assertTrue(connections.size() <= 32, "of one host");
+    assertTrue(connections.size() <= 32, "connections to one host");
     for (VirtualConnection connection : List.copyOf(connections)) {
       for (int i = 0; i < 200; i++) {
         connection.receives("i" + i + " 200 - 0\r\n\r\n");
@@ -227,8 +228,8 @@
   }
 
   /**
-   * Regression: the first of two removed pools of a host was maintained no more, and its partial
-   * responses stayed in flight until their timeout.
+   * Regression: the first of two removed pools of a host was no longer maintained, so its partial
+   * responses stayed in flight until the timeout of their requests.
    */
   @Test
   void bothPoolsOfAHostRemovedTwiceAreMaintained() {
@@ -244,8 +245,8 @@
   }
 
   /**
-   * Regression: the first drain's check of send buffers ran during the second drain, before its
-   * grace was over.
+   * Regression: the check of the send buffers that the first drain had scheduled ran during the
+   * second drain, before the grace period of the second drain was over.
    */
   @Test
   void aCancelledDrainDiscardsNothingAndTheNextHasItsOwnGrace() {
@@ -263,8 +264,8 @@
   }
 
   /**
-   * Regression: with the last connection broken and no descriptor for another, queued requests
-   * stayed queued.
+   * Regression: when the last connection broke and no file descriptor was left for another one,
+   * queued requests never ended.
    */
   @Test
   void queuedRequestsEndWhenNoConnectionCanBeOpened() {
@@ -283,12 +284,12 @@
             new Ended("a", Outcome.RESET),
             new Ended("b", Outcome.CONNECT_FAILED)),
         ends,
-        "ended, and free to go elsewhere");
+        "queued requests end, so that they can be sent to another host");
   }
 
   /**
-   * Regression: a duplicate of a miss, some milliseconds late, was taken for the response to the
-   * next request of the same tag.
+   * Regression: a duplicate of a miss response, delivered some milliseconds late, was taken for the
+   * response to the next request with the same tag.
    */
   @Test
   void aTagIsNotUsedTwiceOnOneConnection() {
@@ -301,12 +302,12 @@
     connections.get(1).open().receives("a 200 - 0\r\n\r\n");
     assertEquals(List.of(new Ended("a", Outcome.MISS), new Ended("a", Outcome.OK)), ends);
     ask(pool, "b");
-    assertEquals(2, connections.size(), "others go on using it");
+    assertEquals(2, connections.size(), "requests with other tags still use the first connection");
   }
 
   /**
-   * After a restart under the same name nothing new goes to the process before it; what is in
-   * flight there may still end.
+   * After a restart under the same name, no new request is sent to the old process. Requests in
+   * flight there may still finish.
    */
   @Test
   void aRestartedHostIsAnotherProcess() {
--- a/src/test/java/flintlead/platform/upstream/HostProofsTest.java
+++ b/src/test/java/flintlead/platform/upstream/HostProofsTest.java
@@ -20,7 +20,10 @@
 import org.junit.jupiter.api.Test;
 import org.slf4j.helpers.NOPLogger;
 
-/** New work for a host whose lease has ended: probed first, sent elsewhere, or not at all. */
+/**
+ * New work for a host whose lease has ended is sent only after a successful probe; otherwise it
+ * ends, so that it can be sent to another host.
+ */
 class HostProofsTest {
 
   private static final String ALIVE = "p0 alive - 0\r\n\r\n";
@@ -98,7 +101,10 @@
     assertEquals(List.of("a UNPROVEN", "b UNPROVEN"), ends);
     ask(pool, "c", true);
     transport.run(Span.ofMillis(251));
-    assertEquals(List.of("a UNPROVEN", "b UNPROVEN", "c UNPROVEN"), ends, "no answer in time");
+    assertEquals(
+        List.of("a UNPROVEN", "b UNPROVEN", "c UNPROVEN"),
+        ends,
+        "the probe was not answered in time");
     assertTrue(!written(0).contains("fire"));
   }
 
@@ -109,7 +115,10 @@
     assertEquals(List.of("a CONNECT_FAILED"), ends);
   }
 
-  /** The lease held when the request was queued, and has ended when a connection takes it. */
+  /**
+   * The lease is valid when the request is queued, but has ended when a connection takes the
+   * request.
+   */
   @Test
   void aLeaseIsAskedForAtTheMomentOfWriting() {
     ConnectionPool pool = pool();
@@ -134,7 +143,9 @@
     assertTrue(written(0).endsWith("fire b - 0\r\n\r\n"));
     transport.run(Span.ofMillis(2));
     ask(pool, "c", true);
-    assertTrue(connections.size() == 1 || written(1).isEmpty(), "the lease of a has ended");
+    assertTrue(
+        connections.size() == 1 || written(1).isEmpty(),
+        "the lease that request a renewed has ended");
   }
 
   @Test
@@ -147,7 +158,9 @@
     assertTrue(written(0).endsWith("there p1\r\n"), written(0));
   }
 
-  /** Bytes that have not left when the lease ends would reach the host after its grace. */
+  /**
+   * Bytes that are still unsent when the lease ends would reach the host after its grace period.
+   */
   @Test
   void unsentBytesAreDiscardedOnceTheLeaseHasEnded() {
     ConnectionPool pool = pool();
--- a/src/test/java/flintlead/platform/upstream/HostProtocolTest.java
+++ b/src/test/java/flintlead/platform/upstream/HostProtocolTest.java
@@ -9,7 +9,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** The host protocol's commands and status words, byte by byte. */
+/** The exact bytes of the host protocol's commands, and the outcomes of its status words. */
 class HostProtocolTest {
 
   private final ByteBuf out = Unpooled.buffer();
--- a/src/test/java/flintlead/platform/upstream/HostResponseParserTest.java
+++ b/src/test/java/flintlead/platform/upstream/HostResponseParserTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Responses are parsed the same however the bytes are split; malformed input ends the parser,
- * within a bound of memory.
+ * Responses are parsed the same however their bytes are split. Malformed input ends the parser, and
+ * a line without an end is rejected before it uses much memory.
  */
 class HostResponseParserTest {
 
@@ -90,7 +90,7 @@
     assertEquals(
         1,
         out.stream().filter("malformed"::equals).count(),
-        "a line that does not end is a fault by 1 KiB");
+        "a line without an end is malformed after 1 KiB at the latest");
   }
 
   @ParameterizedTest
@@ -112,7 +112,8 @@
     HostResponseParser lines = lines();
     feed(lines, text);
     feed(lines, "b 200 - 1\r\nx\r\n");
-    assertEquals(List.of("malformed"), out, "nothing that follows is told from a body");
+    assertEquals(
+        List.of("malformed"), out, "parsing stops: what follows cannot be told from a body");
   }
 
   @Test
--- a/src/test/java/flintlead/platform/upstream/VirtualConnection.java
+++ b/src/test/java/flintlead/platform/upstream/VirtualConnection.java
@@ -10,13 +10,13 @@
 import io.netty.buffer.UnpooledByteBufAllocator;
 import java.nio.charset.StandardCharsets;
 
-/** A connection whose other end the test plays. */
+/** A connection whose remote end is controlled by the test. */
 final class VirtualConnection implements Stream {
 
-  /** What was written to it. */
+  /** Everything that was written to the connection. */
   final StringBuilder written = new StringBuilder();
 
-  /** Bytes that its send buffer pretends to hold. */
+  /** Number of bytes that the send buffer reports as unsent. */
   long unsent;
 
   boolean aborted;
@@ -29,25 +29,25 @@
     this.listener = listener;
   }
 
-  /** The connection opens. */
+  /** Opens the connection. */
   VirtualConnection open() {
     listener.opened();
     return this;
   }
 
-  /** Bytes come from the host. */
+  /** Delivers bytes from the host. */
   void receives(String text) {
     listener.received(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII));
     transport.run(Span.ZERO);
   }
 
-  /** The connection breaks, and what follows from it happens. */
+  /** Breaks the connection and runs the events that result from it. */
   void breaks(String error) {
     breaksAlone(error);
     transport.run(Span.ZERO);
   }
 
-  /** The connection breaks, and the event is not over yet. */
+  /** Breaks the connection without running the events that result from it. */
   void breaksAlone(String error) {
     listener.closed(error);
   }
@@ -74,7 +74,7 @@
 
   @Override
   public void setAutoRead(boolean on) {
-    // It is always read.
+    // Reading is always on.
   }
 
   @Override
--- a/src/test/java/flintlead/platform/upstream/VirtualTransport.java
+++ b/src/test/java/flintlead/platform/upstream/VirtualTransport.java
@@ -12,19 +12,19 @@
 import java.util.List;
 import java.util.function.Function;
 
-/** A loop in virtual time, and a transport whose connections the test plays. */
+/** An event loop in virtual time, and a transport whose connections are controlled by the test. */
 final class VirtualTransport implements EventExecutor, Transport {
 
   private final TimerQueue timers = new TimerQueue();
   private final List<VirtualConnection> connections = new ArrayList<>();
   private Moment now = new Moment(1_000_000);
 
-  /** Every connection that was ever opened, in this order. */
+  /** All connections that were ever opened, in the order of their opening. */
   List<VirtualConnection> connections() {
     return connections;
   }
 
-  /** Runs what is due within the span, and advances the clock by it. */
+  /** Runs the timers that are due within the span, and advances the clock by the span. */
   void run(Span span) {
     Moment end = now.plus(span);
     while (timers.next() != null && !timers.next().isAfter(end)) {
