--- a/src/main/java/flintlead/platform/journal/HeartbeatAge.java
+++ b/src/main/java/flintlead/platform/journal/HeartbeatAge.java
@@ -4,23 +4,33 @@
 import flintlead.time.Span;
 
 /**
- * How old the heartbeats of one connection may be when they arrive. They carry no time, and a slow
- * network or service may deliver them late. The first can't have been written before it was asked
- * for, each further one not before a second after the one before it.
+ * Computes how early the heartbeats of one connection can have been written. They carry no time,
+ * and a slow network or service may deliver them late. The first one cannot have been written
+ * before it was requested, and each further one not within a second of the one before it.
  */
 final class HeartbeatAge {
 
-  /** The service writes one each second; a little more, so that its clock may be slower. */
+  /**
+   * The service writes a heartbeat each second. The interval is slightly longer, so that a service
+   * with a slower clock is not taken for a late one.
+   */
   private static final Span INTERVAL = Span.ofMillis(1_050);
 
   private Moment earliest;
 
-  /** Creates the ages of a connection on which nothing has arrived. */
+  /**
+   * Creates an instance for a connection on which nothing has arrived.
+   *
+   * @param askedAt when the heartbeats were requested
+   */
   HeartbeatAge(Moment askedAt) {
     this.earliest = askedAt.minus(INTERVAL);
   }
 
-  /** The earliest time at which the heartbeat that arrives now may have been written. */
+  /**
+   * Returns the earliest time at which the heartbeat that arrives now can have been written. Must
+   * be called for each heartbeat, in their order.
+   */
   Moment earliestWriting(Moment arrivedAt) {
     earliest = Moment.earlier(arrivedAt, earliest.plus(INTERVAL));
     return earliest;
--- a/src/main/java/flintlead/platform/journal/HostEventProcessor.java
+++ b/src/main/java/flintlead/platform/journal/HostEventProcessor.java
@@ -11,9 +11,8 @@
 import java.util.function.Function;
 
 /**
- * Applies the numbered events of the host list in their order: a repeated event is ignored, and
- * nothing is applied after a gap until the missing events have come. Does no I/O; used by one
- * thread.
+ * Applies the numbered events of the host list in order. A repeated event is ignored; after a gap,
+ * nothing is applied until the missing events have arrived. Does no I/O. Used by one thread.
  */
 public final class HostEventProcessor {
 
@@ -22,23 +21,23 @@
   /**
    * One host of the list.
    *
-   * @param name as the journal writes it
-   * @param address where the host takes connections
-   * @param entry what the scheduler gets of it
+   * @param name name of the host in the journal
+   * @param address where the host accepts connections
+   * @param entry the host as the scheduler sees it
    */
   public record ListedHost(String name, Address address, HostEntry entry) {}
 
-  /** Receives applied events. */
+  /** Receives the hosts of each applied event. */
   public interface Listener {
 
-    /** The complete list: a host that is missing was removed. */
+    /** The complete list was received: a host that is not in it was removed. */
     void hostsReplaced(List<ListedHost> hosts);
 
-    /** Hosts that were added, changed or removed. */
+    /** Hosts were added, changed or removed. */
     void hostsUpdated(List<ListedHost> hosts);
   }
 
-  /** A host's start, as the journal gave it and as a moment of the gateway's clock. */
+  /** A host's start time, as given by the journal and as a moment of the gateway's clock. */
   private record Start(long unixMillis, Moment at) {}
 
   private final List<String> zones;
@@ -47,8 +46,8 @@
   private final Listener listener;
 
   /**
-   * When each listed host started. Converted once: the system's clock may be set, and the same
-   * start received again must not seem a later one.
+   * The start time of each listed host. Converted only once: the system clock may be set, and a
+   * repeated start time must not become a later moment.
    */
   private final Map<Long, Start> starts = new HashMap<>();
 
@@ -59,7 +58,7 @@
    *
    * @param zones names of the zones, in the order of their numbers
    * @param kinds names of the kinds of hosts, in the order of their numbers
-   * @param toMoment converts a Unix millisecond into a moment of the gateway's clock
+   * @param toMoment converts Unix milliseconds to a moment of the gateway's clock
    */
   public HostEventProcessor(
       List<String> zones, List<String> kinds, Function<Long, Moment> toMoment, Listener listener) {
@@ -69,20 +68,20 @@
     this.listener = listener;
   }
 
-  /** The position of the last event that was applied; 0 before the first. */
+  /** The position of the last applied event; 0 before the first. */
   public long lastPosition() {
     return lastPosition;
   }
 
   /**
-   * Applies the event if it is the next one.
+   * Applies the event if it is the next one; ignores it if it was applied before.
    *
    * @param event the event as JSON maps and lists
-   * @return false where events before it are missing
-   * @throws IllegalArgumentException if it is malformed; nothing of it is applied then
+   * @return false if events before it are missing
+   * @throws IllegalArgumentException if the event is malformed; no part of it is applied then
    */
   public boolean apply(Object event) {
-    Map<?, ?> members = map(event, "an event");
+    Map<?, ?> members = map(event, "event");
     long position = number(members.get("pos"), "pos");
     if (position <= lastPosition) {
       return true;
@@ -106,7 +105,10 @@
     return true;
   }
 
-  /** A snapshot may begin with any position; later a gap means that events were lost. */
+  /**
+   * Whether events before this position are missing. The first event may be a snapshot at any
+   * position.
+   */
   private boolean isGap(long position, boolean snapshot) {
     boolean first = snapshot && lastPosition == 0;
     return position > lastPosition + 1 && !first;
@@ -114,11 +116,11 @@
 
   private List<ListedHost> endpoints(Map<?, ?> hosts) {
     if (!(hosts.get("endpoints") instanceof List<?> endpoints)) {
-      throw new IllegalArgumentException("hosts.endpoints is no list");
+      throw new IllegalArgumentException("hosts.endpoints is missing or not a list");
     }
     List<ListedHost> listed = new ArrayList<>();
     for (Object endpoint : endpoints) {
-      listed.add(endpoint(map(endpoint, "an endpoint")));
+      listed.add(endpoint(map(endpoint, "endpoint")));
     }
     return listed;
   }
@@ -130,7 +132,9 @@
           case "active" -> HostEntry.State.READY;
           case "leaving" -> HostEntry.State.DRAINING;
           case "left" -> HostEntry.State.GONE;
-          default -> throw new IllegalArgumentException("endpoint " + name + ": unknown status");
+          default ->
+              throw new IllegalArgumentException(
+                  "endpoint " + name + ": status is not active, leaving or left");
         };
     long host = NameHash.host(name);
     Moment startedAt = startedAt(host, name, endpoint.get("since_ms"));
@@ -151,7 +155,8 @@
   private Moment startedAt(long host, String name, Object value) {
     long since = value == null ? 0 : number(value, "since_ms");
     if (since < 0 || since > MAX_UNIX_MILLIS) {
-      throw new IllegalArgumentException("endpoint " + name + ": since_ms is out of range");
+      throw new IllegalArgumentException(
+          "endpoint " + name + ": since_ms is negative or above 2^52");
     }
     Start start = starts.get(host);
     if (start == null || start.unixMillis != since) {
@@ -162,7 +167,8 @@
   }
 
   /**
-   * Moment 0 stands for a start in the distant past, which is what a missing start is taken for.
+   * Converts a start time. Moment 0 is reserved for hosts without a start time, which count as
+   * started in the distant past; any other host gets a later moment.
    */
   private Moment toMomentAfterZero(long unixMillis) {
     return unixMillis == 0
@@ -170,7 +176,7 @@
         : Moment.later(new Moment(1), toMoment.apply(unixMillis));
   }
 
-  /** The name's number; what is missing or unknown is taken for the first. */
+  /** The number of the name; a missing or unknown name counts as the first one. */
   private static int indexOf(List<String> names, Object name) {
     return name instanceof String text ? Math.max(0, names.indexOf(text)) : 0;
   }
@@ -179,20 +185,20 @@
     if (value instanceof Map<?, ?> map) {
       return map;
     }
-    throw new IllegalArgumentException(what + " is no object");
+    throw new IllegalArgumentException(what + " is missing or not an object");
   }
 
   private static String text(Map<?, ?> members, String key) {
     if (members.get(key) instanceof String text && !text.isEmpty()) {
       return text;
     }
-    throw new IllegalArgumentException(key + " is no text");
+    throw new IllegalArgumentException(key + " is missing, empty or not a string");
   }
 
   private static long number(Object value, String key) {
     if (value instanceof Integer || value instanceof Long) {
       return ((Number) value).longValue();
     }
-    throw new IllegalArgumentException(key + " is no integer");
+    throw new IllegalArgumentException(key + " is missing or not an integer");
   }
 }
--- a/src/main/java/flintlead/platform/journal/JournalClient.java
+++ b/src/main/java/flintlead/platform/journal/JournalClient.java
@@ -18,22 +18,22 @@
 import org.slf4j.Logger;
 
 /**
- * Watches the journal service: asks for what comes after the last event applied, and asks again,
- * after a backoff, when the connection breaks, stays silent, sends what is malformed or leaves an
- * event out. Tells the leases of the hosts since when the list is known to hold everything. Used on
- * the event loop only.
+ * Watches the journal service: requests the events after the last applied one. Reconnects after a
+ * backoff if the connection breaks or is silent, or if the service sends malformed data or omits an
+ * event. Tells the host leases up to what time the host list is known to be complete. Used on the
+ * event loop only.
  */
 public final class JournalClient {
 
   private static final int MAX_LINE = 1 << 20;
   private static final Span CONNECT_TIMEOUT = Span.ofMillis(500);
 
-  /** The service writes a line each second. */
+  /** The service writes a line each second; a longer silence than this is a failure. */
   private static final Span SILENCE_TIMEOUT = Span.ofMillis(1_600);
 
   /**
-   * The first backoff at most; doubled with each failure in a row. The platform allows 2 s until a
-   * new event is applied.
+   * Upper limit of the first backoff; doubled with each consecutive failure. The platform allows 2
+   * s until a new event is applied.
    */
   private static final Span FIRST_BACKOFF = Span.ofMillis(50);
 
@@ -55,10 +55,10 @@
   /**
    * Creates a client that is not connected.
    *
-   * @param events applies what the service sends
-   * @param leases of the hosts, which depend on how old the list is
-   * @param random spreads the backoff
-   * @param onFailure run each time that the service failed, before it is asked again
+   * @param events applies the events that the service sends
+   * @param leases leases of the hosts, which depend on how current the host list is
+   * @param random adds jitter to the backoff
+   * @param onFailure run after each failure of the service, before the next connection
    * @param log receives {@code journal_watch_failed} and {@code journal_watch_restored}
    */
   public JournalClient(
@@ -82,12 +82,12 @@
     this.failures = new WatchFailures(log);
   }
 
-  /** Begins to watch. */
+  /** Connects to the service. */
   public void start() {
     watch();
   }
 
-  /** The service is at this address from now on; the positions of events go on. */
+  /** Connects to another address of the service and continues after the last applied event. */
   public void moveTo(Address to) {
     if (!stopped && !to.equals(address)) {
       address = to;
@@ -99,7 +99,7 @@
     }
   }
 
-  /** Watches no more, for good. */
+  /** Disconnects from the service permanently. */
   public void stop() {
     stopped = true;
     if (current != null) {
@@ -140,7 +140,12 @@
 
     void expectInputWithin(Span timeout) {
       cancelTimeout.run();
-      cancelTimeout = loop.scheduleAfter(timeout, () -> fail("no data before the timeout"));
+      cancelTimeout =
+          loop.scheduleAfter(
+              timeout,
+              () ->
+                  fail(
+                      "journal service did not accept the connection or sent no line before the timeout"));
     }
 
     @Override
@@ -167,7 +172,7 @@
       }
       try {
         if (!apply(json.read(ByteBufUtil.getBytes(line)))) {
-          fail("events after " + events.lastPosition() + " are missing");
+          fail("events after position " + events.lastPosition() + " were not received");
           return;
         }
         failures.succeeded(loop.now());
@@ -177,7 +182,7 @@
       }
     }
 
-    /** Applies an event or a heartbeat; false where events are missing before it. */
+    /** Applies an event or a heartbeat; returns false if events before it are missing. */
     private boolean apply(Object message) {
       if (message instanceof Number position) {
         return heartbeat(position.longValue());
@@ -191,8 +196,9 @@
     }
 
     /**
-     * The position of the service's last event. Only where it is the last one applied too, the list
-     * holds everything: a service that is behind has not told all that another one told before.
+     * Handles a heartbeat, which holds the position of the service's last event. The host list is
+     * known to be complete only if this event is also the last applied one: a service that lags
+     * behind does not know all events that another instance of the service has sent.
      */
     private boolean heartbeat(long position) {
       Moment writtenAt = heartbeats.earliestWriting(stream.earliestArrival());
@@ -204,7 +210,7 @@
 
     @Override
     public void lineTooLong(int maxBytes) {
-      fail("a line of over " + maxBytes + " bytes");
+      fail("journal line exceeds " + maxBytes + " bytes");
     }
 
     @Override
@@ -215,7 +221,7 @@
       fail(error);
     }
 
-    /** Closes the connection; nothing is logged and nothing follows. */
+    /** Closes the connection without logging or scheduling anything. */
     void drop() {
       if (!closed) {
         closed = true;
--- a/src/main/java/flintlead/platform/journal/JsonReader.java
+++ b/src/main/java/flintlead/platform/journal/JsonReader.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 
 /**
- * Reads JSON as maps, lists, strings and numbers, without the classes that data binding would load.
- * May be used by any thread.
+ * Reads JSON into maps, lists, strings and numbers. Uses no data binding, which would load many
+ * classes. Thread-safe.
  */
 public final class JsonReader {
 
@@ -22,25 +22,27 @@
   /**
    * Reads one value: a map, list, string, number, boolean or null.
    *
-   * @throws IllegalArgumentException that names the place where the input is malformed
+   * @throws IllegalArgumentException if the input is malformed; the message of a syntax error names
+   *     its position
    */
   public Object read(byte[] bytes) {
     try (JsonParser in = factory.createParser(bytes)) {
       in.nextToken();
       Object value = value(in, 0);
       if (in.nextToken() != null) {
-        throw new IllegalArgumentException("more than one JSON value");
+        throw new IllegalArgumentException("extra content after the JSON value");
       }
       return value;
     } catch (IOException e) {
-      throw new IllegalArgumentException("not JSON: " + e.getMessage(), e);
+      throw new IllegalArgumentException("malformed JSON: " + e.getMessage(), e);
     }
   }
 
   private Object value(JsonParser in, int depth) throws IOException {
     JsonToken token = in.currentToken();
     if (token == null || depth > MAX_DEPTH) {
-      throw new IllegalArgumentException(token == null ? "no JSON" : "JSON nested too deep");
+      throw new IllegalArgumentException(
+          token == null ? "empty JSON input" : "JSON nested too deeply");
     }
     return switch (token) {
       case START_OBJECT -> object(in, depth);
@@ -50,7 +52,7 @@
       case VALUE_TRUE -> true;
       case VALUE_FALSE -> false;
       case VALUE_NULL -> null;
-      default -> throw new IllegalArgumentException("not JSON: " + token);
+      default -> throw new IllegalArgumentException("unexpected JSON token: " + token);
     };
   }
 
--- a/src/main/java/flintlead/platform/journal/WatchFailures.java
+++ b/src/main/java/flintlead/platform/journal/WatchFailures.java
@@ -4,7 +4,10 @@
 import flintlead.transport.loop.Address;
 import org.slf4j.Logger;
 
-/** Reports failures of the watch once for each outage, and how many there were at its end. */
+/**
+ * Logs the failures of the watch, once for each reason, and their number when the watch works
+ * again.
+ */
 final class WatchFailures {
 
   private final Logger log;
@@ -16,12 +19,12 @@
     this.log = log;
   }
 
-  /** Failures in a row. */
+  /** Number of consecutive failures. */
   int count() {
     return count;
   }
 
-  /** The watch failed; logged where it is the first time, or for another reason than the last. */
+  /** Records a failure. Logged if its reason differs from that of the failure before it. */
   void failed(Address address, String reason, long lastPosition, Moment now) {
     if (count++ == 0) {
       firstAt = now;
@@ -37,7 +40,7 @@
     }
   }
 
-  /** A line came that is in order. */
+  /** Records that a valid line was received, which ends the outage. */
   void succeeded(Moment now) {
     if (count > 0) {
       log.atInfo()
@@ -48,7 +51,7 @@
     }
   }
 
-  /** Begins to count anew. */
+  /** Resets the number of failures and the last reason. */
   void reset() {
     count = 0;
     lastReason = null;
--- a/src/test/java/flintlead/platform/journal/HeartbeatAgeTest.java
+++ b/src/test/java/flintlead/platform/journal/HeartbeatAgeTest.java
@@ -7,7 +7,7 @@
 import flintlead.time.Span;
 import org.junit.jupiter.api.Test;
 
-/** How old a heartbeat may be when it arrives. */
+/** The earliest time at which a heartbeat can have been written. */
 class HeartbeatAgeTest {
 
   private static Moment at(double millis) {
@@ -19,7 +19,10 @@
     assertEquals(at(0), new HeartbeatAge(at(0)).earliestWriting(at(900)));
   }
 
-  /** A service whose second is a little longer is not taken for a slow one as time goes by. */
+  /**
+   * A service whose interval is slightly longer than a second must not be taken for a late one as
+   * time goes by.
+   */
   @Test
   void heartbeatsInTimeAreYoungHoweverLongTheConnectionLasts() {
     HeartbeatAge ages = new HeartbeatAge(at(0));
@@ -37,7 +40,7 @@
     for (int i = 1; i <= 10; i++) {
       written = ages.earliestWriting(at(i * 1_500));
     }
-    assertEquals(at(9 * 1_050), written, "the tenth arrives after 15 s");
+    assertEquals(at(9 * 1_050), written, "the tenth heartbeat arrives after 15 s");
   }
 
   @Test
