--- a/src/main/java/flintlead/platform/AttemptRunner.java
+++ b/src/main/java/flintlead/platform/AttemptRunner.java
@@ -12,8 +12,8 @@
 import java.util.List;
 
 /**
- * Starts the attempts that the scheduler asks for, ends them in time, and reports their outcomes to
- * the scheduler and the client. Used on the event loop only.
+ * Starts the attempts that the scheduler requests, ends them at their time limit, and reports their
+ * outcomes to the scheduler and the client. Used on the event loop only.
  */
 final class AttemptRunner {
 
@@ -42,12 +42,12 @@
     this.guard = guard;
   }
 
-  /** Decides whether attempts may leave. */
+  /** The guard that decides whether an attempt may be sent. */
   InvocationGuard guard() {
     return guard;
   }
 
-  /** Starts the next attempt of the invocation; its outcome is never delivered within this call. */
+  /** Starts the next attempt of the invocation. The outcome is never delivered within this call. */
   void start(PendingInvocation invocation, long host, Moment abandonAt) {
     List<HostAttempt> attempts = invocation.attempts();
     HostAttempt previous = attempts.isEmpty() ? null : attempts.get(attempts.size() - 1);
@@ -62,19 +62,22 @@
     Runnable cancelTimer = loop.scheduleAt(abandonAt, () -> withdraw(attempt, Outcome.TIMEOUT));
     TriggerType type = deployment.triggerTypes().get(invocation.triggerType());
     if (previous != null && type.effect() == TriggerType.Effect.TOKENED) {
-      // After the window hosts have forgotten the idempotency key: a retry that has waited for a
-      // connection until then would run the invocation again.
+      // Hosts forget the idempotency key after the window. A retry that is still queued by then
+      // must not be sent, as it could run the invocation a second time.
       loop.scheduleAt(attempts.get(0).startedAt().plus(type.window()), attempt::withdrawIfQueued);
     }
     attempt.start(cancelTimer);
   }
 
-  /** Gives an attempt up because the scheduler no longer needs it. */
+  /** Cancels an attempt that the scheduler no longer needs. */
   void cancel(PendingInvocation invocation, int number) {
     withdraw(invocation.attempts().get(number), Outcome.CANCELLED);
   }
 
-  /** What never left can't have run, whatever ended the wait for it. */
+  /**
+   * Ends an attempt early. An attempt that was never sent cannot have run, so it ends as {@code
+   * WITHDRAWN} whatever the reason for ending it is.
+   */
   private void withdraw(HostAttempt attempt, Outcome ifSent) {
     if (!attempt.hasOutcome()) {
       endLater(attempt, attempt.withdraw() ? Outcome.WITHDRAWN : ifSent);
@@ -85,15 +88,15 @@
     loop.scheduleAt(loop.now(), () -> ended(attempt, outcome, ResponseFields.NONE, null));
   }
 
-  /** Milliseconds from the present until then, and at least 1, as they are sent to hosts. */
+  /** Milliseconds until the given time, at least 1, in the form that is sent to hosts. */
   long remainingMillis(Moment until) {
     return Math.max(1, until.since(loop.polls().readClock()).micros() / 1000);
   }
 
   /**
-   * An attempt has ended; ignored where it had ended before.
+   * Called when an attempt has ended; has no effect if it had ended before.
    *
-   * @param body of a response; null where there is none
+   * @param body body of the response; null if there is no response
    */
   void ended(HostAttempt attempt, Outcome outcome, ResponseFields fields, ByteBuf body) {
     if (!attempt.finish(outcome)) {
--- a/src/main/java/flintlead/platform/HostAttempt.java
+++ b/src/main/java/flintlead/platform/HostAttempt.java
@@ -11,8 +11,8 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * One attempt to run an invocation on a host: under way until it gets its outcome, once. Used on
- * the event loop only.
+ * One attempt to run an invocation on a host. Gets exactly one outcome. Used on the event loop
+ * only.
  */
 final class HostAttempt extends Request {
 
@@ -22,10 +22,10 @@
   private final Moment startedAt;
   private final Moment abandonAt;
 
-  /** Null where the host is not listed: then nothing is ever sent. */
+  /** Null if the host is not listed; then nothing is ever sent. */
   private final ConnectionPool pool;
 
-  /** The time that the host was given; set when the attempt is written. */
+  /** The time limit that was sent to the host; set when the attempt is written. */
   private Span granted = Span.ZERO;
 
   private Runnable abandonTimer = () -> {};
@@ -35,8 +35,8 @@
    * Creates the next attempt of an invocation, without starting it.
    *
    * @param runner notified of the outcome
-   * @param previous the attempt before it; null for the first
-   * @param pool of the host; null where it is not listed
+   * @param previous the previous attempt of the invocation; null for the first
+   * @param pool connection pool of the host; null if the host is not listed
    * @param abandonAt when the response is no longer waited for
    */
   HostAttempt(
@@ -81,7 +81,7 @@
     return outcome == Outcome.OK;
   }
 
-  /** Sets the outcome and cancels the timer; false where it has one already. */
+  /** Sets the outcome and cancels the timer; returns false if there is an outcome already. */
   boolean finish(Outcome result) {
     if (outcome != null) {
       return false;
@@ -92,7 +92,7 @@
   }
 
   /**
-   * Hands it to the host's pool.
+   * Passes the attempt to the host's connection pool.
    *
    * @param cancelTimer cancels the timer that abandons the attempt
    */
@@ -101,19 +101,21 @@
     pool.run(this);
   }
 
-  /** Ends it if it still waits for a connection; its outcome comes later. */
+  /** Ends the attempt if it is still queued; its outcome is delivered later. */
   void withdrawIfQueued() {
     if (outcome == null && pool != null) {
       pool.withdrawIfQueued(this);
     }
   }
 
-  /** Gives it up; returns whether it is proven that nothing of it left. */
+  /** Ends the attempt early; returns whether it is certain that nothing of it was sent. */
   boolean withdraw() {
     return pool == null || pool.withdraw(this);
   }
 
-  /** The latest time at which the client, and all that bears on the attempt, was looked at. */
+  /**
+   * The latest time up to which both the client's connection and the other socket events are known.
+   */
   private Moment seenAt(Moment deliveredUpTo) {
     return Moment.earlier(invocation.client().seenOpenAt(), deliveredUpTo);
   }
--- a/src/main/java/flintlead/platform/HostFeedback.java
+++ b/src/main/java/flintlead/platform/HostFeedback.java
@@ -6,12 +6,12 @@
 import java.util.List;
 
 /**
- * Decodes what a host's response says of the instance that served it and of the host's load.
- * Without state.
+ * Decodes what a host's response reports about the instance that served the request and about the
+ * host's load. Stateless.
  */
 final class HostFeedback {
 
-  /** How the host found an instance, in the lower bits of a remark. */
+  /** Values for how the host obtained an instance, in the lower bits of a remark. */
   private static final int NOT_TOLD = 0;
 
   private static final int INSTANCE_WAS_IDLE = 1;
@@ -19,7 +19,7 @@
   private static final int WAITED_FOR_INSTANCE = 3;
   private static final int LOAD_FAILED = 4;
 
-  /** The requests ahead are in a remark's upper bits. */
+  /** The number of requests ahead is in the upper bits of a remark. */
   private static final int REQUESTS_AHEAD_FACTOR = 8;
 
   private static final int MAX_REQUESTS_AHEAD = 30;
@@ -34,8 +34,8 @@
   }
 
   /**
-   * The remark as the scheduler takes it: 1 to 3 how an instance was found, 4 a failed load, and
-   * eight times the number of requests that were ahead.
+   * Encodes the remark for the scheduler: 1 to 3 for how an instance was obtained, or 4 for a
+   * failed load, plus eight times the number of requests that were ahead.
    */
   int remark(Outcome outcome, ResponseFields fields) {
     int found = found(fields.get("tell"));
@@ -65,8 +65,8 @@
   }
 
   /**
-   * The host's load report, in the order of the deployment's names; empty where there is none, 0
-   * for a value that is missing or not finite.
+   * The values of the host's load report, in the order of the deployment's names. Empty if the
+   * response has no report; 0 for a value that is missing or not finite.
    */
   float[] loadReport(ResponseFields fields) {
     if (reportNames.isEmpty() || !fields.hasLoadReport()) {
--- a/src/main/java/flintlead/platform/HostListUpdater.java
+++ b/src/main/java/flintlead/platform/HostListUpdater.java
@@ -10,8 +10,8 @@
 import java.util.TreeSet;
 
 /**
- * Passes changes of the host list on to the connection pools and then to the scheduler. Used on the
- * event loop only.
+ * Applies changes of the host list to the connection pools first and then to the scheduler. Used on
+ * the event loop only.
  */
 final class HostListUpdater implements HostEventProcessor.Listener {
 
--- a/src/main/java/flintlead/platform/HostOperations.java
+++ b/src/main/java/flintlead/platform/HostOperations.java
@@ -12,8 +12,8 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * Operations on hosts that belong to no invocation: loading and unloading a function, and probes.
- * Used on the event loop only.
+ * Operations on hosts that are not part of an invocation: loading and unloading a function, and
+ * probes. Used on the event loop only.
  */
 final class HostOperations {
 
@@ -24,7 +24,7 @@
   private final Span loadTimeout;
   private final Span probeTimeout;
 
-  /** Makes the tags of operations differ from each other. */
+  /** Number of operations so far; makes their tags unique. */
   private long operations;
 
   HostOperations(EventExecutor loop, ConnectionPools pools, Span loadTimeout, Span probeTimeout) {
@@ -34,18 +34,20 @@
     this.probeTimeout = probeTimeout;
   }
 
-  /** Receives the outcome of an operation; never called within the call that started it. */
+  /**
+   * Receives the outcome of an operation. Never called within the call that started the operation.
+   */
   interface Completion {
 
     /**
-     * The operation is over.
+     * The operation has ended.
      *
-     * @param fields of the response; {@link ResponseFields#DEFAULT} where there is none
+     * @param fields fields of the response; {@link ResponseFields#NONE} if there is no response
      */
     void completed(Outcome outcome, Span elapsed, ResponseFields fields);
   }
 
-  /** Asks the host to hold at least so many instances of a function. */
+  /** Asks the host to keep at least {@code instances} instances of a function loaded. */
   void load(long host, long function, int instances, Completion completion) {
     ConnectionPool pool = pools.get(host);
     if (pool == null) {
@@ -55,7 +57,7 @@
     }
   }
 
-  /** Asks the host for its load report. */
+  /** Requests the host's load report. */
   void probe(long host, Completion completion) {
     ConnectionPool pool = pools.get(host);
     if (pool == null) {
@@ -65,7 +67,7 @@
     }
   }
 
-  /** Lets the host unload the function; nothing happens where it can't be sent now. */
+  /** Allows the host to unload the function. Has no effect if the command cannot be sent now. */
   void unload(long host, long function) {
     ConnectionPool pool = pools.get(host);
     if (pool != null) {
@@ -73,7 +75,7 @@
     }
   }
 
-  /** Closes the connections to the host that have nothing in flight. */
+  /** Closes the connections to the host that have no request in flight. */
   void closeIdleConnections(long host) {
     ConnectionPool pool = pools.get(host);
     if (pool != null) {
@@ -85,7 +87,7 @@
     return "g" + Long.toString(operations++, TAG_RADIX);
   }
 
-  /** The host is not listed. */
+  /** Reports, in a separate event, that the host is not listed. */
   private void failLater(Completion completion) {
     loop.scheduleAt(
         loop.now(),
@@ -140,7 +142,7 @@
       this.instances = instances;
     }
 
-    /** An order for no instance only asks. */
+    /** An order for 0 instances makes the host load nothing; it only queries the host. */
     @Override
     protected boolean isNewWork() {
       return instances > 0;
--- a/src/test/java/flintlead/platform/DiscoveryOutageTest.java
+++ b/src/test/java/flintlead/platform/DiscoveryOutageTest.java
@@ -16,11 +16,11 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The journal is out of reach for longer than silence counts as told, while hosts drain that stay
- * up and turn new work away. What it would have told counts as told 4 s after the outage began at
- * the latest; a send later than the grace after that breaks the rule on draining hosts. Each
- * scenario has a gateway process, hosts, clients and a journal of its own; those of a test are
- * played side by side.
+ * Guards against new work for draining hosts while the journal is unreachable. The hosts stay up
+ * and refuse new work, and the outage is longer than the time after which the gateway counts as
+ * notified: at the latest 4 s after the outage began. New work that is sent later than the grace
+ * period after that violates the drain rule. Each scenario has its own gateway process, hosts,
+ * clients and journal; the scenarios of a test run concurrently.
  */
 @Timeout(120)
 class DiscoveryOutageTest {
@@ -33,7 +33,7 @@
 
   @TempDir private Path folder;
 
-  /** Plays scenarios side by side; each returns what it has found wrong. */
+  /** One scenario; returns the violations that it has found. */
   private interface Scenario {
     List<String> play(OutageRig rig) throws IOException, InterruptedException;
   }
@@ -68,7 +68,7 @@
     LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(millis));
   }
 
-  /** Two hosts drain right after the outage began, two more when it has lasted for long. */
+  /** Two hosts drain right after the outage begins, and two more late in the outage. */
   private static List<String> drainsDuringOutage(OutageRig rig, Outage way)
       throws IOException, InterruptedException {
     rig.startGateway();
@@ -98,7 +98,7 @@
     verify(plays);
   }
 
-  /** SIGHUP moves the journal, in the middle of its outage, to an address where nobody listens. */
+  /** During the outage, SIGHUP changes the journal's address to one where nothing listens. */
   private static List<String> movedToNowhere(OutageRig rig)
       throws IOException, InterruptedException {
     rig.startGateway();
@@ -115,7 +115,10 @@
     return rig.judge();
   }
 
-  /** Its configuration's list is as old as the outage; nobody confirms it. */
+  /**
+   * The gateway starts during the outage. The host list in its configuration is as old as the
+   * outage and is never confirmed.
+   */
   private static List<String> startedDuringOutage(OutageRig rig)
       throws IOException, InterruptedException {
     rig.beginOutage(Outage.REFUSED);
@@ -128,7 +131,10 @@
     return rig.judge();
   }
 
-  /** A host that left and came back as a new process is served again, and drains once more. */
+  /**
+   * A host that left and returned as a new process is sent new work again, and then drains once
+   * more.
+   */
   private static List<String> goneAndBack(OutageRig rig) throws IOException, InterruptedException {
     rig.startGateway();
     rig.startClients();
--- a/src/test/java/flintlead/platform/FakeHost.java
+++ b/src/test/java/flintlead/platform/FakeHost.java
@@ -12,16 +12,16 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** A host that does with each invocation what its script says; echoes the body by default. */
+/** A host that handles each invocation with a script; by default it echoes the body. */
 final class FakeHost implements AutoCloseable {
 
   private static final int BACKLOG = 50;
   private static final int FULL_BACKLOG_MILLIS = 300;
 
-  /** One command line; the time is of {@link System#nanoTime}. */
+  /** A command line, with the time of {@link System#nanoTime} at which it was received. */
   record TimedCommand(String line, long nanos) {
 
-    /** Whether it brings new work: an invocation, or an order to load instances. */
+    /** Whether the command is new work: an invocation, or an order to load instances. */
     boolean isNewWork() {
       return line.startsWith("fire ") || line.startsWith("provision ") && !line.endsWith("units=0");
     }
@@ -31,7 +31,7 @@
     }
   }
 
-  /** What a host does with one invocation. */
+  /** Handles one invocation. */
   interface Script {
     void run(FakeHost host, Socket from, String[] words, byte[] body) throws IOException;
   }
@@ -41,7 +41,7 @@
   /** The command lines received, and "closed" for each connection that ended. */
   final List<String> commands = new CopyOnWriteArrayList<>();
 
-  /** Each command line with when it was received, for tests of when something was sent. */
+  /** The command lines received, with their times, for tests that check when something was sent. */
   final List<TimedCommand> timedCommands = new CopyOnWriteArrayList<>();
 
   /** Bodies of the invocations received. */
@@ -50,7 +50,10 @@
   volatile Script script =
       (host, from, words, body) -> host.answer(from, words[1] + " 200 - ", body);
 
-  /** Whether it refuses new work and says that it is dead, as a host does that drains. */
+  /**
+   * Whether the host refuses new work and answers probes with {@code dead}, as a draining host
+   * does.
+   */
   volatile boolean draining;
 
   private final ServerSocket server;
@@ -67,7 +70,10 @@
     return host;
   }
 
-  /** A host whose accept queue is full, so that connections to it do not open until it accepts. */
+  /**
+   * Returns a host whose accept queue is full, so that connections to it do not open until {@link
+   * #accept()} is called.
+   */
   static FakeHost notAccepting(String name) throws IOException {
     FakeHost host = new FakeHost(name, bind(0, 1));
     boolean full = false;
@@ -88,7 +94,7 @@
     return new ServerSocket(port, backlog, InetAddress.getByName("127.0.0.1"));
   }
 
-  /** Accepts connections from now on, those that have waited too. */
+  /** Accepts connections from now on, including those that wait in the queue. */
   void accept() {
     TestIo.inBackground(
         () -> {
@@ -132,7 +138,11 @@
     }
   }
 
-  /** Writes a response: its first line up to the length, which is added, and its body. */
+  /**
+   * Writes a response.
+   *
+   * @param head the first line up to the length, which is appended
+   */
   void answer(Socket to, String head, byte[] body) throws IOException {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     bytes.writeBytes((head + body.length + "\r\n").getBytes(StandardCharsets.US_ASCII));
@@ -156,7 +166,7 @@
     return endpoint(status, 0);
   }
 
-  /** The host as an endpoint of a journal event. */
+  /** Returns the host as an endpoint of a journal event. */
   String endpoint(String status, long sinceMillis) {
     return "{\"name\":\""
         + name
@@ -173,7 +183,7 @@
     return server.getLocalPort();
   }
 
-  /** Invocations received. */
+  /** Number of invocations received. */
   long invocations() {
     return commands.stream().filter(command -> command.startsWith("fire ")).count();
   }
--- a/src/test/java/flintlead/platform/FakeJournal.java
+++ b/src/test/java/flintlead/platform/FakeJournal.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * A journal service: sends whoever asks what comes after the position asked for, and each second
- * the last position. It can be out of reach in several ways.
+ * A journal service: sends each client the events after the position that the client requests, and
+ * the last position each second. Can simulate several kinds of outages.
  */
 final class FakeJournal implements AutoCloseable {
 
@@ -22,24 +22,24 @@
   private static final long HEARTBEAT_MILLIS = 1_000;
   private static final long TICK_MILLIS = 10;
 
-  /** How late lines are while the journal is slow. */
+  /** Delay of each line during a {@link Outage#SLOW} outage. */
   private static final long SLOW_MILLIS = 8_000;
 
-  /** In what way the journal is out of reach. */
+  /** The kinds of outages. */
   enum Outage {
-    /** It answers. */
+    /** The journal works. */
     NONE,
-    /** Connections end, and new ones are refused. */
+    /** Connections are closed, and new ones are refused. */
     REFUSED,
-    /** Connections are reset, new ones too. */
+    /** Connections are reset, including new ones. */
     RESET,
-    /** Connections stay open and carry nothing. */
+    /** Connections stay open, but nothing is sent. */
     SILENT,
-    /** The last position goes on, the events before it do not come. */
+    /** The last position is still sent, but the events before it are not. */
     BEHIND,
-    /** A line breaks off in the middle, and nothing follows. */
+    /** A line is cut off in the middle, and nothing follows. */
     HALF_LINE,
-    /** Every line comes late. */
+    /** Each line is sent late. */
     SLOW
   }
 
@@ -94,7 +94,7 @@
     }
   }
 
-  /** Writes the last position each second, and what was delayed when it is due. */
+  /** Writes the last position each second, and delayed lines when they are due. */
   private void beat() {
     long next = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(HEARTBEAT_MILLIS);
     while (!closed) {
@@ -114,7 +114,7 @@
 
   // ---- outages ----
 
-  /** Is out of reach from now on. */
+  /** Begins an outage, which lasts until {@link #endOutage}. */
   void beginOutage(Outage way) throws IOException {
     synchronized (events) {
       outage = way;
@@ -130,13 +130,13 @@
         }
         case HALF_LINE -> sendAll("{\"po");
         default -> {
-          // What it does not say is seen by whoever waits for it.
+          // Lines are withheld or delayed when they would be written.
         }
       }
     }
   }
 
-  /** Answers again; what was held back or asked for meanwhile is sent. */
+  /** Ends the outage, and sends the events that were withheld or requested during it. */
   void endOutage() throws IOException {
     synchronized (events) {
       Outage before = outage;
@@ -173,7 +173,10 @@
         + "]}}";
   }
 
-  /** Adds a change, and sends it at once or keeps it for whoever asks. */
+  /**
+   * Adds an event. Sends it to the connected clients, or withholds it from them until they
+   * reconnect.
+   */
   void add(boolean send, String... endpoints) throws IOException {
     synchronized (events) {
       events.add(event(events.size() + 1, false, endpoints));
@@ -220,7 +223,7 @@
     breakConnections();
   }
 
-  /** One gateway's connection. */
+  /** The connection of one gateway. */
   private final class Watch {
     private final Socket socket;
     private final List<Line> delayed = new ArrayList<>();
@@ -233,7 +236,7 @@
     }
 
     /**
-     * Whether the last position is written: after an event that was held back it would be a gap.
+     * Whether the last position is written. After an event that was withheld it would reveal a gap.
      */
     boolean hears() {
       boolean silent = outage == Outage.SILENT || outage == Outage.HALF_LINE;
--- a/src/test/java/flintlead/platform/HostFeedbackTest.java
+++ b/src/test/java/flintlead/platform/HostFeedbackTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What the scheduler gets of a host's response. */
+/** The values that the scheduler gets from a host's response. */
 class HostFeedbackTest {
 
   private final HostFeedback feedback =
--- a/src/test/java/flintlead/platform/HostListRaceTest.java
+++ b/src/test/java/flintlead/platform/HostListRaceTest.java
@@ -31,8 +31,8 @@
   }
 
   /**
-   * Regression: where SIGHUP was lost or ignored, the old journal stayed the only one that was
-   * asked.
+   * Regression: if SIGHUP was lost or ignored, the gateway went on connecting only to the old
+   * journal.
    */
   @Test
   void aJournalFailureReadsAChangedConfigurationAgain() throws Exception {
@@ -48,8 +48,8 @@
   }
 
   /**
-   * Regression: a process restarted under the same name and address got requests on the connections
-   * of the one before.
+   * Regression: a process that was restarted under the same name and address was sent requests on
+   * the connections of its predecessor.
    */
   @Test
   void aRestartedHostGetsNewConnectionsAndARepeatedEntryKeepsThem() throws Exception {
@@ -62,7 +62,7 @@
           each.answer(from, words[1] + " 200 - ", body);
         };
     assertEquals(200, fixture.invoke(1, "x").status());
-    // Long enough ago to be warm.
+    // Long enough ago for the host to count as warm.
     long started = System.currentTimeMillis() - 60_000;
     fixture.journal.add(true, host.endpoint("active", started));
     await()
@@ -91,8 +91,8 @@
   }
 
   /**
-   * Regression: the system's clock may be set and is read in milliseconds, and a repeated start
-   * time became a later one.
+   * Regression: a repeated start time became a later moment, because the system clock may be set
+   * and is read in milliseconds.
    */
   @Test
   void aRepeatedStartTimeIsTheSameMoment() {
@@ -115,7 +115,7 @@
         recorder.received().stream().map(each -> each.entry().startedAt().micros()).toList());
   }
 
-  /** The events known at the start may begin with a snapshot at any position. */
+  /** The events in the configuration may begin with a snapshot at any position. */
   @Test
   void theKnownEventsMayBeginAtAnyPosition() throws Exception {
     fixture =
@@ -128,7 +128,7 @@
     await().until(() -> fixture.journal.asked.contains("tail 9"));
   }
 
-  /** The status of an invocation of another function, named by its last four digits. */
+  /** Invokes another function, given by the last four digits of its ID, and returns the status. */
   private int statusOf(String function) throws IOException {
     String request = PlatformFixture.call(System.nanoTime() & 0xffffff, "x");
     return fixture
--- a/src/test/java/flintlead/platform/OutageRig.java
+++ b/src/test/java/flintlead/platform/OutageRig.java
@@ -13,12 +13,15 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * One gateway process with hosts, a journal that can be out of reach, and clients that send both
- * kinds of invocations. Records what hosts received and clients were answered, and judges it.
+ * One gateway process with hosts, a journal with simulated outages, and clients that send
+ * invocations with and without an idempotency key. Records what the hosts received and how the
+ * clients were answered, and checks both.
  */
 final class OutageRig implements AutoCloseable {
 
-  /** What the journal would have told counts as told this long after its outage began. */
+  /**
+   * Time after the beginning of an outage from which the gateway counts as notified of all changes.
+   */
   static final long TOLD_AFTER_SECONDS = 4;
 
   private static final int DESCRIPTORS = 512;
@@ -27,15 +30,23 @@
   private static final int CLIENT_PAUSE_MILLIS = 25;
   private static final int FUNCTIONS = 24;
 
-  /** Requests after which a function is no longer asked for, and a new one is. */
+  /**
+   * Number of requests after which one function is no longer invoked and a new one takes its place.
+   */
   private static final int REQUESTS_PER_NEW_FUNCTION = 32;
 
-  /** The grace after a drain was told, with the slack of the sockets' page. */
+  /**
+   * The grace period after the gateway counts as notified of a drain, plus the tolerance that the
+   * platform allows for sockets.
+   */
   private static final long GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_050);
 
   private static final double MIN_SERVED = 0.95;
 
-  /** A host takes so many probes a second, whoever sends them; a gateway needs far fewer. */
+  /**
+   * Maximum probes per second that one host accepts from all gateways together. One gateway needs
+   * far fewer.
+   */
   private static final int MAX_PROBES_PER_SECOND = 4;
 
   private record Drain(FakeHost host, long sinceNanos) {}
@@ -87,11 +98,11 @@
         Thread.sleep(CLIENT_PAUSE_MILLIS);
       }
     } catch (IOException | InterruptedException e) {
-      // What was asked and not served counts.
+      // Requests without an answer count as not served.
     }
   }
 
-  /** Each second one may be repeated freely, the others carry an idempotency key. */
+  /** Every second request of a client is idempotent; the others carry an idempotency key. */
   private static String request(long id) {
     String headers =
         id / CLIENTS % 2 == 0
@@ -124,7 +135,10 @@
     fixture.journal.endOutage();
   }
 
-  /** The configuration names an address where nobody listens, and SIGHUP says so. */
+  /**
+   * Changes the journal's address in the configuration to one where nothing listens, and sends
+   * SIGHUP.
+   */
   void moveJournalToNowhere() throws IOException {
     int unused;
     try (ServerSocket socket = new ServerSocket(0)) {
@@ -134,7 +148,7 @@
     process.signal("HUP");
   }
 
-  /** The hosts drain: they stay up, and the journal has it whether it is reached or not. */
+  /** Makes hosts drain: they stay up, and the journal records it even while it is unreachable. */
   void drain(int... hosts) throws IOException {
     for (int index : hosts) {
       FakeHost host = host(index);
@@ -144,7 +158,7 @@
     }
   }
 
-  /** The host's process ends, and another one under its name and address is ready. */
+  /** Ends the host's process and starts another one with the same name and address. */
   void restart(int index) throws IOException {
     FakeHost before = host(index);
     fixture.journal.add(true, before.endpoint("left"));
@@ -154,9 +168,9 @@
     fixture.journal.add(true, again.endpoint("active", System.currentTimeMillis()));
   }
 
-  // ---- judgement ----
+  // ---- checks ----
 
-  /** What was wrong. */
+  /** Returns the violations found so far. */
   List<String> judge() {
     List<String> found = new ArrayList<>();
     for (Drain drain : drains) {
@@ -168,12 +182,13 @@
               .filter(command -> command.isNewWork() && command.nanos() > told + GRACE_NANOS)
               .count();
       if (late > 0) {
-        found.add(late + " sends to " + drain.host.name + " after its grace");
+        found.add(
+            late + " new-work commands sent to " + drain.host.name + " after its grace period");
       }
     }
     double share = served.get() / (double) Math.max(1, asked.get());
     if (share < MIN_SERVED) {
-      found.add("served " + served + " of " + asked);
+      found.add("served only " + served + " of " + asked);
     }
     fixture.hosts.forEach(host -> judgeProbes(host, found));
     if (!found.isEmpty()) {
@@ -192,7 +207,7 @@
     }
     int most = perSecond.values().stream().mapToInt(Integer::intValue).max().orElse(0);
     if (most > MAX_PROBES_PER_SECOND) {
-      found.add(most + " probes in a second to " + host.name);
+      found.add(most + " probes within one second to " + host.name);
     }
   }
 
--- a/src/test/java/flintlead/platform/PlatformHostTest.java
+++ b/src/test/java/flintlead/platform/PlatformHostTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A complete gateway on loopback, with faults of hosts and of the journal service. */
+/** A complete gateway on loopback, with faulty hosts and a faulty journal service. */
 class PlatformHostTest {
 
   private PlatformFixture fixture;
@@ -28,7 +28,7 @@
     fixture = new PlatformFixture(hosts, 256).start();
   }
 
-  // ---- bad hosts ----
+  // ---- faulty hosts ----
 
   @ParameterizedTest
   @ValueSource(
@@ -130,7 +130,7 @@
       assertEquals(
           200,
           fixture.invoke(i, "x").status(),
-          "invocation " + i + ": idempotent, and the host lives");
+          "invocation " + i + ": idempotent, and the host is alive");
     }
     assertEquals(9, fixture.hosts.get(0).invocations());
   }
@@ -153,7 +153,7 @@
     fixture.journal.add(true, old.endpoint("left"));
     int port = old.port();
     old.close();
-    // Until the accepting thread has let go of the port.
+    // Retries until the accepting thread has released the port.
     FakeHost heir =
         await()
             .ignoreException(java.net.BindException.class)
--- a/src/test/java/flintlead/platform/RecordingHostListener.java
+++ b/src/test/java/flintlead/platform/RecordingHostListener.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** Keeps every host that an event brought. */
+/** Records the hosts of every event. */
 final class RecordingHostListener implements HostEventProcessor.Listener {
 
   private final List<HostEventProcessor.ListedHost> received = new CopyOnWriteArrayList<>();
