--- a/src/main/java/flintlead/platform/HostAttempt.java
+++ b/src/main/java/flintlead/platform/HostAttempt.java
@@ -131,7 +131,7 @@
   }
 
   @Override
-  protected void handedOver(Moment clock) {
+  protected void writtenToSocket(Moment clock) {
     runner.guard().sent(invocation.record(), invocation.client().seenOpenAt(), granted, clock);
     invocation.record().note(clock, "attempt " + number + " sent");
   }
--- a/src/main/java/flintlead/platform/upstream/ConnectionPool.java
+++ b/src/main/java/flintlead/platform/upstream/ConnectionPool.java
@@ -128,7 +128,7 @@
   public boolean withdraw(Request request) {
     request.withdrawn();
     unsettled.remove(request);
-    if (!request.mayHaveLeft()) {
+    if (!request.wasWritten()) {
       if (!queue.remove(request)) {
         proof.remove(request);
       }
@@ -147,7 +147,7 @@
 
   /** Delivers the outcome of a request that is neither queued nor in flight, in another event. */
   void endLater(Request request, Outcome outcome) {
-    request.decided();
+    request.outcomeKnown();
     all.loop().scheduleAt(now(), () -> request.end(outcome, ResponseFields.NONE, null));
   }
 
--- a/src/main/java/flintlead/platform/upstream/HostConnection.java
+++ b/src/main/java/flintlead/platform/upstream/HostConnection.java
@@ -133,7 +133,7 @@
     lastUsedAt = pool.now();
     request.sent(this, lastUsedAt);
     inFlight.put(request.tag(), request);
-    request.handedOver(polls.readClock());
+    request.writtenToSocket(polls.readClock());
     if (request.isNewWork()) {
       pool.proof().sent(request.tag(), polls.readClock());
     }
--- a/src/main/java/flintlead/platform/upstream/HostProofs.java
+++ b/src/main/java/flintlead/platform/upstream/HostProofs.java
@@ -171,7 +171,7 @@
 
     /** When the probe was sent; the current time if it was not sent. */
     Moment askedAt() {
-      return mayHaveLeft() ? sentAt() : pool.now();
+      return wasWritten() ? sentAt() : pool.now();
     }
 
     @Override
--- a/src/main/java/flintlead/platform/upstream/Request.java
+++ b/src/main/java/flintlead/platform/upstream/Request.java
@@ -69,7 +69,7 @@
    *
    * @param clock the time after that
    */
-  protected void handedOver(Moment clock) {
+  protected void writtenToSocket(Moment clock) {
     // Only requests on behalf of a client are checked after sending.
   }
 
@@ -99,7 +99,7 @@
   /**
    * Whether the request was written to a connection. Until then it is certain that it did not run.
    */
-  final boolean mayHaveLeft() {
+  final boolean wasWritten() {
     return connection != null;
   }
 
@@ -143,8 +143,8 @@
     become(RequestState.UNSETTLED);
   }
 
-  final void decided() {
-    become(RequestState.DECIDED);
+  final void outcomeKnown() {
+    become(RequestState.OUTCOME_KNOWN);
   }
 
   /** Suppresses the outcome. Has no effect if the request has ended already. */
--- a/src/main/java/flintlead/platform/upstream/RequestState.java
+++ b/src/main/java/flintlead/platform/upstream/RequestState.java
@@ -9,7 +9,7 @@
   /** Its connection broke; the pool checks whether the host is still alive. */
   UNSETTLED,
   /** Its outcome is known and will be delivered in a separate event. */
-  DECIDED,
+  OUTCOME_KNOWN,
   /** Its outcome was delivered. */
   ENDED,
   /** Withdrawn by its owner; no outcome is delivered. */
@@ -23,10 +23,10 @@
   /** Whether the transition from this state to {@code next} is allowed. */
   boolean mayBecome(RequestState next) {
     return switch (this) {
-      case QUEUED -> next == SENT || next == DECIDED || next == WITHDRAWN;
+      case QUEUED -> next == SENT || next == OUTCOME_KNOWN || next == WITHDRAWN;
       case SENT -> next != QUEUED && next != SENT;
-      case UNSETTLED -> next == DECIDED || next == WITHDRAWN;
-      case DECIDED -> next == ENDED || next == WITHDRAWN;
+      case UNSETTLED -> next == OUTCOME_KNOWN || next == WITHDRAWN;
+      case OUTCOME_KNOWN -> next == ENDED || next == WITHDRAWN;
       case ENDED, WITHDRAWN -> false;
     };
   }
--- a/src/main/java/flintlead/platform/upstream/UnsettledRequests.java
+++ b/src/main/java/flintlead/platform/upstream/UnsettledRequests.java
@@ -12,15 +12,15 @@
 final class UnsettledRequests {
 
   private final List<Request> requests = new ArrayList<>();
-  private final BiConsumer<Request, Outcome> decide;
+  private final BiConsumer<Request, Outcome> onOutcome;
 
   /**
    * Creates an empty set.
    *
-   * @param decide called with each request and its outcome, once the outcome is known
+   * @param onOutcome called with each request and its outcome, once the outcome is known
    */
-  UnsettledRequests(BiConsumer<Request, Outcome> decide) {
-    this.decide = decide;
+  UnsettledRequests(BiConsumer<Request, Outcome> onOutcome) {
+    this.onOutcome = onOutcome;
   }
 
   void addAll(List<Request> unanswered) {
@@ -45,7 +45,7 @@
     if (!requests.isEmpty()) {
       List<Request> lost = List.copyOf(requests);
       requests.clear();
-      lost.forEach(request -> decide.accept(request, Outcome.CONNECTION_LOST));
+      lost.forEach(request -> onOutcome.accept(request, Outcome.CONNECTION_LOST));
     }
   }
 
@@ -61,7 +61,7 @@
   void hostIsDead(List<Request> affected) {
     for (Request request : affected) {
       if (requests.remove(request)) {
-        decide.accept(request, Outcome.RESET);
+        onOutcome.accept(request, Outcome.RESET);
       }
     }
   }
--- a/src/test/java/flintlead/platform/upstream/StatesTest.java
+++ b/src/test/java/flintlead/platform/upstream/StatesTest.java
@@ -18,25 +18,26 @@
   }
 
   @Test
-  void aRequestNeverGoesBackToTheQueueOnceItMayHaveLeft() {
+  void aRequestThatWasSentIsNeverQueuedAgain() {
     assertEquals(
-        EnumSet.of(RequestState.SENT, RequestState.DECIDED, RequestState.WITHDRAWN),
+        EnumSet.of(RequestState.SENT, RequestState.OUTCOME_KNOWN, RequestState.WITHDRAWN),
         after(RequestState.QUEUED));
     assertEquals(
         EnumSet.of(
             RequestState.UNSETTLED,
-            RequestState.DECIDED,
+            RequestState.OUTCOME_KNOWN,
             RequestState.ENDED,
             RequestState.WITHDRAWN),
         after(RequestState.SENT));
     assertEquals(
-        EnumSet.of(RequestState.DECIDED, RequestState.WITHDRAWN), after(RequestState.UNSETTLED));
+        EnumSet.of(RequestState.OUTCOME_KNOWN, RequestState.WITHDRAWN),
+        after(RequestState.UNSETTLED));
     assertEquals(
-        EnumSet.of(RequestState.ENDED, RequestState.WITHDRAWN), after(RequestState.DECIDED));
+        EnumSet.of(RequestState.ENDED, RequestState.WITHDRAWN), after(RequestState.OUTCOME_KNOWN));
   }
 
   @Test
-  void nothingFollowsAFinalState() {
+  void finalStatesHaveNoTransitions() {
     for (RequestState state : RequestState.values()) {
       assertEquals(state.isFinal(), after(state).isEmpty(), state.name());
     }
