--- a/src/main/java/flintlead/platform/upstream/ConnectionPool.java
+++ b/src/main/java/flintlead/platform/upstream/ConnectionPool.java
@@ -43,7 +43,7 @@
   private final HostConnections connections = new HostConnections();
   private final Deque<Request> queue = new ArrayDeque<>();
   private final UnsettledRequests unsettled = new UnsettledRequests(this::endLater);
-  private final HostProofs proof;
+  private final HostLeaseRenewal renewal;
   private final ListedStatus listed = new ListedStatus();
 
   /** Whether the queued requests wait for the next poll of the sockets. */
@@ -55,7 +55,7 @@
     this.hostName = hostName;
     this.address = address;
     this.startedAt = startedAt;
-    this.proof = new HostProofs(this, host, all.guard());
+    this.renewal = new HostLeaseRenewal(this, host, all.guard());
   }
 
   String hostName() {
@@ -70,8 +70,8 @@
     return startedAt;
   }
 
-  HostProofs proof() {
-    return proof;
+  HostLeaseRenewal leaseRenewal() {
+    return renewal;
   }
 
   boolean isActive() {
@@ -96,10 +96,10 @@
   public void run(Request request) {
     if (!isActive()) {
       endLater(request, Outcome.CONNECT_FAILED);
-    } else if (queue.size() + proof.waiting() >= MAX_QUEUED) {
+    } else if (queue.size() + renewal.waitingCount() >= MAX_QUEUED) {
       endLater(request, Outcome.FULL);
-    } else if (request.isNewWork() && !proof.holds()) {
-      proof.await(request);
+    } else if (request.isNewWork() && !renewal.isLeaseValid()) {
+      renewal.awaitProbe(request);
     } else {
       queue.add(request);
       sendQueued();
@@ -107,8 +107,8 @@
   }
 
   /** Sends requests that waited for a probe, after the probe has renewed the host's lease. */
-  void sendProven(List<Request> proven) {
-    queue.addAll(proven);
+  void sendAfterProbe(List<Request> requests) {
+    queue.addAll(requests);
     sendQueued();
   }
 
@@ -130,7 +130,7 @@
     unsettled.remove(request);
     if (!request.wasWritten()) {
       if (!queue.remove(request)) {
-        proof.remove(request);
+        renewal.remove(request);
       }
       return true;
     }
@@ -140,7 +140,7 @@
 
   /** Ends the request as withdrawn if it is still queued; the outcome is delivered later. */
   public void withdrawIfQueued(Request request) {
-    if (queue.remove(request) || proof.remove(request)) {
+    if (queue.remove(request) || renewal.remove(request)) {
       endLater(request, Outcome.WITHDRAWN);
     }
   }
@@ -196,7 +196,7 @@
         sendAfterNextPoll();
         return false;
       }
-      case PROVE_FIRST, UNPROVEN -> proof.await(request);
+      case PROVE_FIRST, UNPROVEN -> renewal.awaitProbe(request);
       default -> endLater(request, Outcome.WITHDRAWN);
     }
     return true;
@@ -275,7 +275,7 @@
       case BROKEN -> {
         checkLiveness(unanswered);
         if (!connections.hasOpen()) {
-          proof.lastConnectionBroke();
+          renewal.lastConnectionBroke();
         }
       }
       case RESET_WHILE_CONNECTING -> {
@@ -289,7 +289,7 @@
         connectFailed(1);
       }
       case CONNECT_FAILED -> {
-        proof.unreachable();
+        renewal.unreachable();
         unsettled.hostIsDead();
         connectFailed(MAX_CONNECT_FAILURES);
       }
@@ -351,7 +351,7 @@
 
   private void beginDraining() {
     int thisDrain = listed.drainNumber();
-    queue.addAll(proof.takeWaiting());
+    queue.addAll(renewal.removeWaiting());
     List<Request> queued = List.copyOf(queue);
     queue.clear();
     queued.forEach(request -> endLater(request, Outcome.CONNECT_FAILED));
@@ -369,7 +369,7 @@
 
   /** Whether no connection, request or probe is left. */
   boolean isEmpty() {
-    return connections.isEmpty() && queue.isEmpty() && unsettled.isEmpty() && proof.isEmpty();
+    return connections.isEmpty() && queue.isEmpty() && unsettled.isEmpty() && renewal.isEmpty();
   }
 
   /**
@@ -378,7 +378,7 @@
    */
   void maintain(Moment now) {
     sendQueued();
-    if (!proof.holds()) {
+    if (!renewal.isLeaseValid()) {
       // Bytes that are still unsent would reach the host after its lease has ended.
       connections.discardUnsentBytes();
     }
--- a/src/main/java/flintlead/platform/upstream/HostConnection.java
+++ b/src/main/java/flintlead/platform/upstream/HostConnection.java
@@ -123,7 +123,7 @@
     Moment clock = polls.readClock();
     SendVerdict verdict = request.maySend(polls.deliveredUpTo(), clock);
     if (verdict == SendVerdict.SEND && request.isNewWork()) {
-      verdict = pool.proof().maySend(clock);
+      verdict = pool.leaseRenewal().maySend(clock);
     }
     if (verdict != SendVerdict.SEND) {
       return verdict;
@@ -135,7 +135,7 @@
     inFlight.put(request.tag(), request);
     request.writtenToSocket(polls.readClock());
     if (request.isNewWork()) {
-      pool.proof().sent(request.tag(), polls.readClock());
+      pool.leaseRenewal().sent(request.tag(), polls.readClock());
     }
     return verdict;
   }
@@ -281,7 +281,7 @@
     if (request != null) {
       lastUsedAt = pool.now();
       if (request.isNewWork()) {
-        pool.proof().answered(outcome, request.sentAt());
+        pool.leaseRenewal().answered(outcome, request.sentAt());
       }
       request.end(outcome, fields, body);
       closeIfDone();
--- a/src/main/java/flintlead/platform/upstream/HostProofs.java
+++ b/src/main/java/flintlead/platform/upstream/HostLeaseRenewal.java
@@ -17,7 +17,7 @@
  * holds the requests that wait until a probe has renewed the lease. At most one probe is in flight.
  * Used on the event loop only.
  */
-final class HostProofs {
+final class HostLeaseRenewal {
 
   private static final int TAG_RADIX = 36;
 
@@ -31,7 +31,7 @@
   /** Number of probes so far; makes their tags unique. */
   private long probes;
 
-  HostProofs(ConnectionPool pool, long host, HostSendGuard guard) {
+  HostLeaseRenewal(ConnectionPool pool, long host, HostSendGuard guard) {
     this.pool = pool;
     this.host = host;
     this.guard = guard;
@@ -57,7 +57,7 @@
    * Whether the lease is valid now. Once it has ended, requests that were already written must not
    * reach the host any more either.
    */
-  boolean holds() {
+  boolean isLeaseValid() {
     return leases.holds(host, pool.now());
   }
 
@@ -99,7 +99,7 @@
     return waiting.isEmpty() && probe == null;
   }
 
-  int waiting() {
+  int waitingCount() {
     return waiting.size();
   }
 
@@ -107,7 +107,7 @@
    * Holds the request until a probe has renewed the lease. If no probe may be sent, all held
    * requests end as unproven.
    */
-  void await(Request request) {
+  void awaitProbe(Request request) {
     waiting.add(request);
     if (probe == null) {
       beginProbe();
@@ -141,9 +141,9 @@
       return;
     }
     probe = null;
-    leases.probeEnded(host, ended.askedAt(), result, pool.now());
+    leases.probeEnded(host, ended.sentAtOrNow(), result, pool.now());
     if (result == HostProof.PROBE) {
-      pool.sendProven(takeWaiting());
+      pool.sendAfterProbe(removeWaiting());
     } else {
       leases.refused(reason);
       boolean unreachable = reason == RefusalReason.UNREACHABLE;
@@ -152,11 +152,11 @@
   }
 
   private void endWaiting(Outcome outcome) {
-    takeWaiting().forEach(request -> pool.endLater(request, outcome));
+    removeWaiting().forEach(request -> pool.endLater(request, outcome));
   }
 
   /** Removes and returns all requests that wait for a probe. */
-  List<Request> takeWaiting() {
+  List<Request> removeWaiting() {
     List<Request> taken = List.copyOf(waiting);
     waiting.clear();
     return taken;
@@ -170,7 +170,7 @@
     }
 
     /** When the probe was sent; the current time if it was not sent. */
-    Moment askedAt() {
+    Moment sentAtOrNow() {
       return wasWritten() ? sentAt() : pool.now();
     }
 
--- a/src/test/java/flintlead/platform/upstream/HostProofsTest.java
+++ b/src/test/java/flintlead/platform/upstream/HostLeaseRenewalTest.java
@@ -22,21 +22,21 @@
 
 /**
  * New work for a host whose lease has ended is sent only after a successful probe; otherwise it
- * ends, so that it can be sent to another host.
+ * outcomes, so that it can be sent to another host.
  */
-class HostProofsTest {
+class HostLeaseRenewalTest {
 
   private static final String ALIVE = "p0 alive - 0\r\n\r\n";
 
   private final VirtualTransport transport = new VirtualTransport();
   private final List<VirtualConnection> connections = transport.connections();
-  private final List<String> ends = new ArrayList<>();
-  private final List<Invariant> violated = new ArrayList<>();
+  private final List<String> outcomes = new ArrayList<>();
+  private final List<Invariant> violations = new ArrayList<>();
   private final HostLeases leases =
       new HostLeases(new LeaseTerms(Span.ofMillis(1_000), true, 1), LeaseListener.NONE);
   private final HostSendGuard guard =
       new HostSendGuard(
-          leases, new InvariantMonitor((invariant, id, detail) -> violated.add(invariant)));
+          leases, new InvariantMonitor((invariant, id, detail) -> violations.add(invariant)));
   private final ConnectionPools pools =
       new ConnectionPools(
           new LinkLimits(
@@ -51,7 +51,7 @@
     return pools.get(1);
   }
 
-  private Request ask(ConnectionPool pool, String id, boolean newWork) {
+  private Request submit(ConnectionPool pool, String id, boolean newWork) {
     Request request =
         new Request(id, null) {
           @Override
@@ -66,7 +66,7 @@
 
           @Override
           protected void ended(Outcome outcome, ResponseFields fields, ByteBuf body) {
-            ends.add(id + " " + outcome);
+            outcomes.add(id + " " + outcome);
           }
         };
     pool.run(request);
@@ -78,41 +78,41 @@
   }
 
   @Test
-  void newWorkWaitsForAnAnswerThatTheHostIsAliveAndOtherRequestsDoNot() {
+  void newWorkWaitsForASuccessfulProbeAndOtherRequestsDoNot() {
     ConnectionPool pool = pool();
-    ask(pool, "a", true);
+    submit(pool, "a", true);
     connections.get(0).open();
     assertEquals("there p0\r\n", written(0));
-    ask(pool, "b", false);
+    submit(pool, "b", false);
     connections.get(1).open();
     assertEquals("fire b - 0\r\n\r\n", written(1));
     connections.get(0).receives(ALIVE);
     assertEquals("there p0\r\nfire a - 0\r\n\r\n", written(0));
-    assertEquals(List.of(), violated);
+    assertEquals(List.of(), violations);
   }
 
   @Test
-  void whatWaitsGoesElsewhereWhereTheHostDeniesOrDoesNotAnswer() {
+  void waitingRequestsEndIfTheProbeIsDeniedOrUnanswered() {
     ConnectionPool pool = pool();
-    ask(pool, "a", true);
+    submit(pool, "a", true);
     connections.get(0).open().receives("p0 dead - 0\r\n\r\n");
-    ask(pool, "b", true);
+    submit(pool, "b", true);
     transport.run(Span.ofMillis(450));
-    assertEquals(List.of("a UNPROVEN", "b UNPROVEN"), ends);
-    ask(pool, "c", true);
+    assertEquals(List.of("a UNPROVEN", "b UNPROVEN"), outcomes);
+    submit(pool, "c", true);
     transport.run(Span.ofMillis(251));
     assertEquals(
         List.of("a UNPROVEN", "b UNPROVEN", "c UNPROVEN"),
-        ends,
+        outcomes,
         "the probe was not answered in time");
     assertTrue(!written(0).contains("fire"));
   }
 
   @Test
-  void aHostThatCantBeReachedForItsProbeCountsAsUnreachable() {
-    ask(pool(), "a", true);
+  void aHostThatRefusesTheConnectionForAProbeIsUnreachable() {
+    submit(pool(), "a", true);
     connections.get(0).breaks("no connection: Connection refused");
-    assertEquals(List.of("a CONNECT_FAILED"), ends);
+    assertEquals(List.of("a CONNECT_FAILED"), outcomes);
   }
 
   /**
@@ -120,10 +120,10 @@
    * request.
    */
   @Test
-  void aLeaseIsAskedForAtTheMomentOfWriting() {
+  void theLeaseIsCheckedWhenTheRequestIsWritten() {
     ConnectionPool pool = pool();
     leases.listConfirmed(transport.now().minus(Span.ofMillis(4_700)));
-    ask(pool, "a", true);
+    submit(pool, "a", true);
     transport.run(Span.ofMillis(101));
     connections.get(0).open();
     assertEquals("there p0\r\n", written(0));
@@ -132,29 +132,29 @@
   }
 
   @Test
-  void servedWorkRenewsFromWhenItWasSent() {
+  void servedWorkRenewsTheLeaseFromWhenItWasSent() {
     ConnectionPool pool = pool();
-    ask(pool, "a", true);
+    submit(pool, "a", true);
     connections.get(0).open().receives(ALIVE);
     transport.run(Span.ofMillis(700));
     connections.get(0).receives("a 200 - 0\r\n\r\n");
     transport.run(Span.ofMillis(99));
-    ask(pool, "b", true);
+    submit(pool, "b", true);
     assertTrue(written(0).endsWith("fire b - 0\r\n\r\n"));
     transport.run(Span.ofMillis(2));
-    ask(pool, "c", true);
+    submit(pool, "c", true);
     assertTrue(
         connections.size() == 1 || written(1).isEmpty(),
         "the lease that request a renewed has ended");
   }
 
   @Test
-  void aTurnedAwayRequestIsFollowedByAProbe() {
+  void aHostThatIsFullIsProbedBeforeMoreNewWork() {
     ConnectionPool pool = pool();
-    ask(pool, "a", true);
+    submit(pool, "a", true);
     connections.get(0).open().receives(ALIVE);
     connections.get(0).receives("a 503 - 0\r\n\r\n");
-    ask(pool, "b", true);
+    submit(pool, "b", true);
     assertTrue(written(0).endsWith("there p1\r\n"), written(0));
   }
 
@@ -164,7 +164,7 @@
   @Test
   void unsentBytesAreDiscardedOnceTheLeaseHasEnded() {
     ConnectionPool pool = pool();
-    ask(pool, "a", true);
+    submit(pool, "a", true);
     connections.get(0).open().receives(ALIVE);
     connections.get(0).unsent = 10;
     transport.run(Span.ofMillis(799));
@@ -174,27 +174,27 @@
   }
 
   @Test
-  void aDrainEndsWhatWaitsForAProof() {
+  void aDrainEndsRequestsThatWaitForAProbe() {
     ConnectionPool pool = pool();
-    ask(pool, "a", true);
+    submit(pool, "a", true);
     pools.update(1, "h", Address.parse("tcp:127.0.0.1:1"), new Moment(0), true);
     transport.run(Span.ZERO);
-    assertEquals(List.of("a CONNECT_FAILED"), ends);
+    assertEquals(List.of("a CONNECT_FAILED"), outcomes);
   }
 
   @Test
-  void aWithdrawnRequestIsNotSentOnceTheHostIsProven() {
+  void aWithdrawnRequestIsNotSentAfterTheProbe() {
     ConnectionPool pool = pool();
-    Request request = ask(pool, "a", true);
+    Request request = submit(pool, "a", true);
     assertTrue(pool.withdraw(request));
     connections.get(0).open().receives(ALIVE);
     assertEquals("there p0\r\n", written(0));
-    assertEquals(List.of(), ends);
+    assertEquals(List.of(), outcomes);
   }
 
   @Test
-  void newWorkThatLeavesWithoutALeaseIsCounted() {
+  void newWorkSentWithoutALeaseIsReportedAsAViolation() {
     guard.sent(1, "a", transport.now());
-    assertEquals(List.of(Invariant.LEASE_BEFORE_NEW_WORK), violated);
+    assertEquals(List.of(Invariant.LEASE_BEFORE_NEW_WORK), violations);
   }
 }
