--- a/src/main/java/flintlead/platform/upstream/ConnectionPool.java
+++ b/src/main/java/flintlead/platform/upstream/ConnectionPool.java
@@ -22,7 +22,7 @@
   /** Connections reset while opening after which a queued request fails; one refusal suffices. */
   private static final int MAX_CONNECT_FAILURES = 4;
 
-  private static final int MAX_QUEUED = 2_000;
+  private static final int MAX_QUEUED_REQUESTS = 2_000;
 
   /**
    * Fraction of the host's idle timeout after which this gateway closes an idle connection. If the
@@ -36,7 +36,7 @@
    */
   private static final double DISCARD_FRACTION = 0.5;
 
-  private final ConnectionPools all;
+  private final ConnectionPools pools;
   private final String hostName;
   private final Address address;
   private final Moment startedAt;
@@ -44,18 +44,18 @@
   private final Deque<Request> queue = new ArrayDeque<>();
   private final UnsettledRequests unsettled = new UnsettledRequests(this::endLater);
   private final HostLeaseRenewal renewal;
-  private final ListedStatus listed = new ListedStatus();
+  private final HostListStatus listStatus = new HostListStatus();
 
   /** Whether the queued requests wait for the next poll of the sockets. */
-  private boolean awaitsPoll;
+  private boolean waitsForPoll;
 
   ConnectionPool(
-      ConnectionPools all, long host, String hostName, Address address, Moment startedAt) {
-    this.all = all;
+      ConnectionPools pools, long host, String hostName, Address address, Moment startedAt) {
+    this.pools = pools;
     this.hostName = hostName;
     this.address = address;
     this.startedAt = startedAt;
-    this.renewal = new HostLeaseRenewal(this, host, all.guard());
+    this.renewal = new HostLeaseRenewal(this, host, pools.guard());
   }
 
   String hostName() {
@@ -75,19 +75,19 @@
   }
 
   boolean isActive() {
-    return listed.isActive();
+    return listStatus.isActive();
   }
 
   EventExecutor loop() {
-    return all.loop();
+    return pools.loop();
   }
 
   LinkLimits limits() {
-    return all.limits();
+    return pools.limits();
   }
 
   Moment now() {
-    return all.loop().now();
+    return pools.loop().now();
   }
 
   // ---- requests ----
@@ -96,7 +96,7 @@
   public void run(Request request) {
     if (!isActive()) {
       endLater(request, Outcome.CONNECT_FAILED);
-    } else if (queue.size() + renewal.waitingCount() >= MAX_QUEUED) {
+    } else if (queue.size() + renewal.waitingCount() >= MAX_QUEUED_REQUESTS) {
       endLater(request, Outcome.FULL);
     } else if (request.isNewWork() && !renewal.isLeaseValid()) {
       renewal.awaitProbe(request);
@@ -148,7 +148,7 @@
   /** Delivers the outcome of a request that is neither queued nor in flight, in another event. */
   void endLater(Request request, Outcome outcome) {
     request.outcomeKnown();
-    all.loop().scheduleAt(now(), () -> request.end(outcome, ResponseFields.NONE, null));
+    pools.loop().scheduleAt(now(), () -> request.end(outcome, ResponseFields.NONE, null));
   }
 
   private void sendQueued() {
@@ -172,7 +172,7 @@
         if (!sendIfAllowed(request, connection)) {
           return;
         }
-      } else if (hasNoProspect()) {
+      } else if (isDisconnected()) {
         queue.poll();
         endLater(request, Outcome.CONNECT_FAILED);
       } else {
@@ -187,7 +187,7 @@
    */
   private boolean sendIfAllowed(Request request, HostConnection connection) {
     queue.poll();
-    switch (connection.send(request, all.loop().polls())) {
+    switch (connection.send(request, pools.loop().polls())) {
       case SEND -> {
         // The response, or the end of the connection, is handled when it arrives.
       }
@@ -203,40 +203,41 @@
   }
 
   private void sendAfterNextPoll() {
-    if (!awaitsPoll) {
-      awaitsPoll = true;
-      all.sendDeferred();
-      all.loop()
+    if (!waitsForPoll) {
+      waitsForPoll = true;
+      pools.countDeferredSend();
+      pools
+          .loop()
           .polls()
           .afterNextPoll(
               () -> {
-                awaitsPoll = false;
+                waitsForPoll = false;
                 sendQueued();
               });
     }
   }
 
   /** Whether no connection is left and no liveness check runs: queued requests fail at once. */
-  private boolean hasNoProspect() {
+  private boolean isDisconnected() {
     return connections.isEmpty() && unsettled.isEmpty();
   }
 
   // ---- opening connections ----
 
   private boolean mayConnect() {
-    return isActive() && connections.size() < all.maxPerHost();
+    return isActive() && connections.size() < pools.maxConnectionsPerHost();
   }
 
   /** Begins to open a connection; returns false if the limits of all pools do not allow it. */
   private boolean connect() {
-    if (!all.mayOpen(this)) {
+    if (!pools.tryAcquireConnection(this)) {
       return false;
     }
     HostConnection connection = new HostConnection(this);
     connections.add(connection);
-    all.connectionAdded();
-    connection.attach(all.transport().connect(address, connection));
-    all.loop().scheduleAfter(limits().connectTimeout(), connection::connectTimedOut);
+    pools.connectionAdded();
+    connection.attach(pools.transport().connect(address, connection));
+    pools.loop().scheduleAfter(limits().connectTimeout(), connection::connectTimedOut);
     return true;
   }
 
@@ -263,12 +264,12 @@
   }
 
   void logMalformedResponse(String reason) {
-    all.logMalformedResponse(hostName, reason);
+    pools.logMalformedResponse(hostName, reason);
   }
 
   void closed(HostConnection connection, List<Request> unanswered, CloseReason reason) {
     connections.remove(connection);
-    all.connectionRemoved();
+    pools.connectionRemoved();
     switch (reason) {
       case MALFORMED_RESPONSE ->
           unanswered.forEach(request -> endLater(request, Outcome.CONNECTION_LOST));
@@ -285,7 +286,7 @@
       }
       case LOCAL_EXHAUSTION -> {
         // A local failure, which proves nothing about the host.
-        all.descriptorsExhausted();
+        pools.descriptorsExhausted();
         connectFailed(1);
       }
       case CONNECT_FAILED -> {
@@ -299,7 +300,7 @@
     }
     if (reason == CloseReason.CLOSED_LOCALLY) {
       // Closed at the connection limit or after a withdrawal: queued requests may need another.
-      all.loop().scheduleAt(now(), this::sendQueued);
+      pools.loop().scheduleAt(now(), this::sendQueued);
     } else {
       sendQueued();
     }
@@ -312,7 +313,8 @@
     }
     unsettled.addAll(unanswered);
     boolean connecting = connections.connecting() > 0 || mayConnect() && connect();
-    all.loop()
+    pools
+        .loop()
         .scheduleAfter(
             connecting ? LIVENESS_TIMEOUT : Span.ZERO, () -> unsettled.hostIsDead(unanswered));
   }
@@ -332,35 +334,35 @@
 
   /** Sends no new requests from now on and ends the queued ones. Requests in flight may finish. */
   void drain() {
-    if (listed.drain()) {
+    if (listStatus.drain()) {
       beginDraining();
     }
   }
 
   /** Called when the host list reports the host as active; ends a drain. */
   void activate() {
-    listed.activate();
+    listStatus.activate();
   }
 
   /** Called when the host was removed from the host list: drains permanently. */
   void remove() {
-    if (listed.remove()) {
+    if (listStatus.remove()) {
       beginDraining();
     }
   }
 
   private void beginDraining() {
-    int thisDrain = listed.drainNumber();
+    int drainNumber = listStatus.drainNumber();
     queue.addAll(renewal.removeWaiting());
     List<Request> queued = List.copyOf(queue);
     queue.clear();
     queued.forEach(request -> endLater(request, Outcome.CONNECT_FAILED));
     connections.copy().forEach(HostConnection::drain);
-    loop().scheduleAfter(limits().drainGrace().times(DISCARD_FRACTION), () -> discard(thisDrain));
+    loop().scheduleAfter(limits().drainGrace().times(DISCARD_FRACTION), () -> discard(drainNumber));
   }
 
-  private void discard(int ofDrain) {
-    if (listed.isInDrain(ofDrain)) {
+  private void discard(int drainNumber) {
+    if (listStatus.isInDrain(drainNumber)) {
       connections.discardUnsentBytes();
     }
   }
--- a/src/main/java/flintlead/platform/upstream/ConnectionPools.java
+++ b/src/main/java/flintlead/platform/upstream/ConnectionPools.java
@@ -25,9 +25,9 @@
   private static final double MAX_CONNECTS_PER_SECOND = 2_000;
 
   /** Maximum connections to one host. A gateway usually has fewer concurrent invocations there. */
-  private static final int MAX_PER_HOST = 32;
+  private static final int MAX_CONNECTIONS_PER_HOST = 32;
 
-  private static final int MIN_PER_HOST = 2;
+  private static final int MIN_CONNECTIONS_PER_HOST = 2;
 
   private final LinkLimits limits;
   private final EventExecutor loop;
@@ -76,7 +76,7 @@
   }
 
   /** Counts requests that were deferred until the next poll of the sockets. */
-  void sendDeferred() {
+  void countDeferredSend() {
     deferredSends++;
   }
 
@@ -162,10 +162,10 @@
   }
 
   /**
-   * Whether the pool may open one more connection. If the limit is reached, an idle connection of
+   * Acquires permission to open one more connection. If the limit is reached, an idle connection of
    * another pool is closed to make room.
    */
-  boolean mayOpen(ConnectionPool pool) {
+  boolean tryAcquireConnection(ConnectionPool pool) {
     Moment now = loop.now();
     if (budget.tryAcquire(now, connections)) {
       return true;
@@ -203,9 +203,9 @@
    * Maximum connections to each host: twice an equal share of the total, within fixed bounds, so
    * that one host with problems cannot take all connections.
    */
-  int maxPerHost() {
-    int evenPart = 2 * limits.maxConnections() / Math.max(1, pools.size());
-    return Math.max(MIN_PER_HOST, Math.min(MAX_PER_HOST, evenPart));
+  int maxConnectionsPerHost() {
+    int share = 2 * limits.maxConnections() / Math.max(1, pools.size());
+    return Math.max(MIN_CONNECTIONS_PER_HOST, Math.min(MAX_CONNECTIONS_PER_HOST, share));
   }
 
   void connectionAdded() {
--- a/src/main/java/flintlead/platform/upstream/HostConnection.java
+++ b/src/main/java/flintlead/platform/upstream/HostConnection.java
@@ -95,7 +95,7 @@
   }
 
   /** Number of requests in flight. */
-  int load() {
+  int inFlightCount() {
     return inFlight.size();
   }
 
--- a/src/main/java/flintlead/platform/upstream/HostConnections.java
+++ b/src/main/java/flintlead/platform/upstream/HostConnections.java
@@ -57,7 +57,7 @@
 
   /** The most recently used idle connection that accepts the request; null if there is none. */
   HostConnection idleFor(Request request) {
-    return best(request, true);
+    return select(request, true);
   }
 
   /**
@@ -65,24 +65,25 @@
    * none.
    */
   HostConnection leastLoadedFor(Request request) {
-    return best(request, false);
+    return select(request, false);
   }
 
-  private HostConnection best(Request request, boolean onlyIdle) {
+  private HostConnection select(Request request, boolean onlyIdle) {
     HostConnection best = null;
     for (HostConnection connection : connections) {
       if (connection.accepts(request)
           && (!onlyIdle || connection.isIdle())
-          && (best == null || isBetter(connection, best))) {
+          && (best == null || isPreferred(connection, best))) {
         best = connection;
       }
     }
     return best;
   }
 
-  private static boolean isBetter(HostConnection connection, HostConnection best) {
-    return connection.load() < best.load()
-        || connection.load() == best.load() && connection.lastUsedAt().isAfter(best.lastUsedAt());
+  private static boolean isPreferred(HostConnection connection, HostConnection best) {
+    return connection.inFlightCount() < best.inFlightCount()
+        || connection.inFlightCount() == best.inFlightCount()
+            && connection.lastUsedAt().isAfter(best.lastUsedAt());
   }
 
   /** The first connection that accepts requests; null if there is none. */
--- a/src/main/java/flintlead/platform/upstream/ListedStatus.java
+++ b/src/main/java/flintlead/platform/upstream/HostListStatus.java
@@ -3,7 +3,7 @@
 /**
  * The status of a pool's host in the host list. Numbers the drains of the host, to tell them apart.
  */
-final class ListedStatus {
+final class HostListStatus {
 
   private enum Status {
     ACTIVE,
--- a/src/test/java/flintlead/platform/upstream/ConnectionPoolTest.java
+++ b/src/test/java/flintlead/platform/upstream/ConnectionPoolTest.java
@@ -27,7 +27,7 @@
 
   private final VirtualTransport transport = new VirtualTransport();
   private final List<VirtualConnection> connections = transport.connections();
-  private final List<Ended> ends = new ArrayList<>();
+  private final List<Ended> outcomes = new ArrayList<>();
   private final ConnectionPools pools =
       new ConnectionPools(
           new LinkLimits(
@@ -42,11 +42,11 @@
     return pools.get(1);
   }
 
-  private Request ask(ConnectionPool pool, String id) {
-    return ask(pool, id, null);
+  private Request submit(ConnectionPool pool, String id) {
+    return submit(pool, id, null);
   }
 
-  private Request ask(ConnectionPool pool, String id, Request earlier) {
+  private Request submit(ConnectionPool pool, String id, Request earlier) {
     Request request =
         new Request(id, earlier) {
           @Override
@@ -56,7 +56,7 @@
 
           @Override
           protected void ended(Outcome outcome, ResponseFields fields, ByteBuf body) {
-            ends.add(new Ended(id, outcome));
+            outcomes.add(new Ended(id, outcome));
           }
         };
     pool.run(request);
@@ -64,76 +64,76 @@
   }
 
   @Test
-  void aResetWhileConnectingIsNoRefusalAndQueuedRequestsGoOnTheNextConnection() {
+  void aResetWhileConnectingShowsALiveHostAndQueuedRequestsUseTheNextConnection() {
     ConnectionPool pool = pool();
-    ask(pool, "a");
+    submit(pool, "a");
     connections.get(0).open();
-    connections.get(0).breaks("Connection reset");
-    connections.get(1).breaks("no connection: Connection reset by peer");
+    connections.get(0).breakOff("Connection reset");
+    connections.get(1).breakOff("no connection: Connection reset by peer");
     assertEquals(
         List.of(new Ended("a", Outcome.CONNECTION_LOST)),
-        ends,
+        outcomes,
         "a host that resets a new connection has accepted it, so it is alive");
-    ask(pool, "b");
-    connections.get(2).breaks("no connection: Connection reset by peer");
-    connections.get(3).open().receives("b 200 - 0\r\n\r\n");
+    submit(pool, "b");
+    connections.get(2).breakOff("no connection: Connection reset by peer");
+    connections.get(3).open().receive("b 200 - 0\r\n\r\n");
     assertEquals(
-        List.of(new Ended("a", Outcome.CONNECTION_LOST), new Ended("b", Outcome.OK)), ends);
+        List.of(new Ended("a", Outcome.CONNECTION_LOST), new Ended("b", Outcome.OK)), outcomes);
   }
 
   @Test
   void aHostThatRefusesAfterAConnectionBrokeIsDead() {
-    ask(pool(), "a");
-    connections.get(0).open().breaks("Connection reset");
-    connections.get(1).breaks("no connection: Connection refused");
-    assertEquals(List.of(new Ended("a", Outcome.RESET)), ends);
+    submit(pool(), "a");
+    connections.get(0).open().breakOff("Connection reset");
+    connections.get(1).breakOff("no connection: Connection refused");
+    assertEquals(List.of(new Ended("a", Outcome.RESET)), outcomes);
   }
 
   @Test
   void aHostThatIsSilentAfterAConnectionBrokeIsDead() {
-    ask(pool(), "a");
-    connections.get(0).open().breaks("Connection reset");
+    submit(pool(), "a");
+    connections.get(0).open().breakOff("Connection reset");
     transport.run(Span.ofMillis(149));
-    assertEquals(List.of(), ends);
+    assertEquals(List.of(), outcomes);
     transport.run(Span.ofMillis(2));
-    assertEquals(List.of(new Ended("a", Outcome.RESET)), ends);
+    assertEquals(List.of(new Ended("a", Outcome.RESET)), outcomes);
   }
 
   @Test
-  void aRequestThatNeverLeftIsProvenNotToHaveRun() {
+  void aRequestThatWasNeverSentDidNotRun() {
     ConnectionPool pool = pool();
-    ask(pool, "a");
-    assertTrue(pool.withdraw(ask(pool, "b")), "the request is still queued");
-    connections.get(0).breaks("no connection: Connection refused");
-    connections.get(1).breaks("no connection: Connection refused");
-    assertEquals(List.of(new Ended("a", Outcome.CONNECT_FAILED)), ends);
+    submit(pool, "a");
+    assertTrue(pool.withdraw(submit(pool, "b")), "the request is still queued");
+    connections.get(0).breakOff("no connection: Connection refused");
+    connections.get(1).breakOff("no connection: Connection refused");
+    assertEquals(List.of(new Ended("a", Outcome.CONNECT_FAILED)), outcomes);
   }
 
   @Test
   void withdrawingQueuedRequestsDoesNotTouchThoseThatWereSent() {
     ConnectionPool pool = pool();
-    Request waits = ask(pool, "a");
+    Request waits = submit(pool, "a");
     pool.withdrawIfQueued(waits);
     transport.run(Span.ZERO);
-    assertEquals(List.of(new Ended("a", Outcome.WITHDRAWN)), ends);
+    assertEquals(List.of(new Ended("a", Outcome.WITHDRAWN)), outcomes);
     connections.get(0).open();
     assertTrue(connections.get(0).written.isEmpty());
-    Request left = ask(pool, "b");
+    Request left = submit(pool, "b");
     pool.withdrawIfQueued(left);
-    connections.get(0).receives("b 200 - 0\r\n\r\n");
-    assertEquals(List.of(new Ended("a", Outcome.WITHDRAWN), new Ended("b", Outcome.OK)), ends);
+    connections.get(0).receive("b 200 - 0\r\n\r\n");
+    assertEquals(List.of(new Ended("a", Outcome.WITHDRAWN), new Ended("b", Outcome.OK)), outcomes);
   }
 
   @Test
   void descriptorExhaustionClosesAnIdleConnectionAndPausesConnecting() {
     ConnectionPool pool = pool();
-    ask(pool, "a");
-    connections.get(0).open().receives("a 200 - 0\r\n\r\n");
+    submit(pool, "a");
+    connections.get(0).open().receive("a 200 - 0\r\n\r\n");
     pools.update(2, "i", Address.parse("tcp:127.0.0.1:2"), new Moment(0), false);
-    ask(pools.get(2), "b");
-    connections.get(1).breaks("no connection: Too many open files");
+    submit(pools.get(2), "b");
+    connections.get(1).breakOff("no connection: Too many open files");
     assertTrue(connections.get(0).closed);
-    ask(pools.get(2), "c");
+    submit(pools.get(2), "c");
     transport.run(Span.ZERO);
     assertEquals(2, connections.size());
     assertEquals(
@@ -141,76 +141,76 @@
             new Ended("a", Outcome.OK),
             new Ended("b", Outcome.CONNECT_FAILED),
             new Ended("c", Outcome.CONNECT_FAILED)),
-        ends);
+        outcomes);
     transport.run(Span.ofMillis(201));
-    ask(pools.get(2), "d");
+    submit(pools.get(2), "d");
     assertEquals(3, connections.size());
   }
 
   @Test
   void aConnectionThatDoesNotOpenInTimeIsAborted() {
-    ask(pool(), "a");
+    submit(pool(), "a");
     transport.run(Span.ofMillis(251));
     assertTrue(connections.get(0).aborted);
-    assertEquals(List.of(new Ended("a", Outcome.CONNECT_FAILED)), ends);
+    assertEquals(List.of(new Ended("a", Outcome.CONNECT_FAILED)), outcomes);
   }
 
   @Test
   void aMalformedResponseEndsOnlyItsConnection() {
     ConnectionPool pool = pool();
-    ask(pool, "a");
-    ask(pool, "b");
+    submit(pool, "a");
+    submit(pool, "b");
     connections.get(0).open();
     connections.get(1).open();
-    connections.get(0).receives("a 200 - 3000000000\r\n");
-    connections.get(1).receives("b 200 - 0\r\n\r\n");
+    connections.get(0).receive("a 200 - 3000000000\r\n");
+    connections.get(1).receive("b 200 - 0\r\n\r\n");
     assertEquals(
-        List.of(new Ended("a", Outcome.CONNECTION_LOST), new Ended("b", Outcome.OK)), ends);
+        List.of(new Ended("a", Outcome.CONNECTION_LOST), new Ended("b", Outcome.OK)), outcomes);
     assertTrue(connections.get(0).aborted);
   }
 
   @Test
   void aDrainingHostGetsNoQueuedRequestAndNoUnsentBytes() {
     ConnectionPool pool = pool();
-    ask(pool, "a");
+    submit(pool, "a");
     connections.get(0).open().unsent = 10;
-    ask(pool, "b");
+    submit(pool, "b");
     pools.update(1, "h", Address.parse("tcp:127.0.0.1:1"), new Moment(0), true);
     transport.run(Span.ZERO);
-    assertEquals(List.of(new Ended("b", Outcome.CONNECT_FAILED)), ends);
+    assertEquals(List.of(new Ended("b", Outcome.CONNECT_FAILED)), outcomes);
     connections.get(1).open();
     assertTrue(connections.get(1).written.isEmpty());
     transport.run(Span.ofMillis(501));
     assertTrue(connections.get(0).aborted, "aborted before the grace period is over");
     assertEquals(
-        List.of(new Ended("b", Outcome.CONNECT_FAILED), new Ended("a", Outcome.RESET)), ends);
+        List.of(new Ended("b", Outcome.CONNECT_FAILED), new Ended("a", Outcome.RESET)), outcomes);
   }
 
   @Test
-  void aConnectionSilentSinceAWithdrawalCarriesNoNewRequest() {
+  void aConnectionSilentSinceAWithdrawalGetsNoNewRequest() {
     ConnectionPool pool = pool();
-    Request first = ask(pool, "a");
+    Request first = submit(pool, "a");
     connections.get(0).open();
     transport.run(Span.ofMillis(1));
     pool.withdraw(first);
-    ask(pool, "b");
+    submit(pool, "b");
     assertEquals(2, connections.size());
     assertTrue(connections.get(0).aborted);
   }
 
   @Test
   void aPartialResponseEndsItsConnectionAfterATimeout() {
-    ask(pool(), "a");
-    connections.get(0).open().receives("a 200 - 5\r\nab");
+    submit(pool(), "a");
+    connections.get(0).open().receive("a 200 - 5\r\nab");
     transport.run(Span.ofMillis(400));
-    assertEquals(List.of(new Ended("a", Outcome.CONNECTION_LOST)), ends);
+    assertEquals(List.of(new Ended("a", Outcome.CONNECTION_LOST)), outcomes);
   }
 
   @Test
   void connectionsAreBoundedAndIdleOnesAreClosedBeforeTheHostClosesThem() {
     ConnectionPool pool = pool();
     for (int i = 0; i < 200; i++) {
-      ask(pool, "i" + i);
+      submit(pool, "i" + i);
       if (i < connections.size()) {
         connections.get(i).open();
       }
@@ -218,10 +218,10 @@
     assertTrue(connections.size() <= 32, "connections to one host");
     for (VirtualConnection connection : List.copyOf(connections)) {
       for (int i = 0; i < 200; i++) {
-        connection.receives("i" + i + " 200 - 0\r\n\r\n");
+        connection.receive("i" + i + " 200 - 0\r\n\r\n");
       }
     }
-    assertEquals(200, ends.size());
+    assertEquals(200, outcomes.size());
     transport.run(Span.ofMillis(9_200));
     assertTrue(connections.stream().allMatch(connection -> connection.closed));
     assertEquals(0, pools.connections());
@@ -233,15 +233,15 @@
    */
   @Test
   void bothPoolsOfAHostRemovedTwiceAreMaintained() {
-    ask(pool(), "a");
+    submit(pool(), "a");
     connections.get(0).open();
     pools.remove(1);
-    ask(pool(), "b");
+    submit(pool(), "b");
     connections.get(1).open();
     pools.remove(1);
-    connections.get(0).receives("a 200 - 5\r\nab");
+    connections.get(0).receive("a 200 - 5\r\nab");
     transport.run(Span.ofMillis(400));
-    assertEquals(List.of(new Ended("a", Outcome.CONNECTION_LOST)), ends);
+    assertEquals(List.of(new Ended("a", Outcome.CONNECTION_LOST)), outcomes);
   }
 
   /**
@@ -250,7 +250,7 @@
    */
   @Test
   void aCancelledDrainDiscardsNothingAndTheNextHasItsOwnGrace() {
-    ask(pool(), "a");
+    submit(pool(), "a");
     connections.get(0).open().unsent = 10;
     pools.update(1, "h", Address.parse("tcp:127.0.0.1:1"), new Moment(0), true);
     transport.run(Span.ofMillis(300));
@@ -258,9 +258,9 @@
     transport.run(Span.ofMillis(100));
     pools.update(1, "h", Address.parse("tcp:127.0.0.1:1"), new Moment(0), true);
     transport.run(Span.ofMillis(110));
-    assertEquals(List.of(), ends);
+    assertEquals(List.of(), outcomes);
     transport.run(Span.ofMillis(400));
-    assertEquals(List.of(new Ended("a", Outcome.RESET)), ends);
+    assertEquals(List.of(new Ended("a", Outcome.RESET)), outcomes);
   }
 
   /**
@@ -270,20 +270,20 @@
   @Test
   void queuedRequestsEndWhenNoConnectionCanBeOpened() {
     ConnectionPool pool = pool();
-    ask(pool, "a");
+    submit(pool, "a");
     connections.get(0).open();
     pools.update(2, "i", Address.parse("tcp:127.0.0.1:2"), new Moment(0), false);
-    ask(pools.get(2), "x");
-    connections.get(1).breaks("no connection: Too many open files");
-    connections.get(0).breaksAlone("Connection reset");
-    ask(pool, "b");
+    submit(pools.get(2), "x");
+    connections.get(1).breakOff("no connection: Too many open files");
+    connections.get(0).breakOffWithoutEvents("Connection reset");
+    submit(pool, "b");
     transport.run(Span.ofMillis(50));
     assertEquals(
         List.of(
             new Ended("x", Outcome.CONNECT_FAILED),
             new Ended("a", Outcome.RESET),
             new Ended("b", Outcome.CONNECT_FAILED)),
-        ends,
+        outcomes,
         "queued requests end, so that they can be sent to another host");
   }
 
@@ -294,14 +294,14 @@
   @Test
   void aTagIsNotUsedTwiceOnOneConnection() {
     ConnectionPool pool = pool();
-    Request first = ask(pool, "a");
-    connections.get(0).open().receives("a 404 - 0\r\n\r\n");
-    ask(pool, "a", first);
+    Request first = submit(pool, "a");
+    connections.get(0).open().receive("a 404 - 0\r\n\r\n");
+    submit(pool, "a", first);
     assertEquals(2, connections.size());
-    connections.get(0).receives("a 404 - 0\r\n\r\n");
-    connections.get(1).open().receives("a 200 - 0\r\n\r\n");
-    assertEquals(List.of(new Ended("a", Outcome.MISS), new Ended("a", Outcome.OK)), ends);
-    ask(pool, "b");
+    connections.get(0).receive("a 404 - 0\r\n\r\n");
+    connections.get(1).open().receive("a 200 - 0\r\n\r\n");
+    assertEquals(List.of(new Ended("a", Outcome.MISS), new Ended("a", Outcome.OK)), outcomes);
+    submit(pool, "b");
     assertEquals(2, connections.size(), "requests with other tags still use the first connection");
   }
 
@@ -310,17 +310,17 @@
    * flight there may still finish.
    */
   @Test
-  void aRestartedHostIsAnotherProcess() {
-    ask(pool(), "a");
+  void aRestartedHostGetsNewConnections() {
+    submit(pool(), "a");
     connections.get(0).open();
     pools.update(1, "h", Address.parse("tcp:127.0.0.1:1"), new Moment(5), false);
-    ask(pools.get(1), "b");
+    submit(pools.get(1), "b");
     assertEquals(2, connections.size());
-    connections.get(0).receives("a 200 - 0\r\n\r\n");
-    connections.get(1).open().receives("b 200 - 0\r\n\r\n");
-    assertEquals(List.of(new Ended("a", Outcome.OK), new Ended("b", Outcome.OK)), ends);
+    connections.get(0).receive("a 200 - 0\r\n\r\n");
+    connections.get(1).open().receive("b 200 - 0\r\n\r\n");
+    assertEquals(List.of(new Ended("a", Outcome.OK), new Ended("b", Outcome.OK)), outcomes);
     pools.update(1, "h", Address.parse("tcp:127.0.0.1:1"), new Moment(5), false);
-    ask(pools.get(1), "c");
+    submit(pools.get(1), "c");
     assertEquals(2, connections.size());
   }
 }
--- a/src/test/java/flintlead/platform/upstream/HostLeaseRenewalTest.java
+++ b/src/test/java/flintlead/platform/upstream/HostLeaseRenewalTest.java
@@ -86,7 +86,7 @@
     submit(pool, "b", false);
     connections.get(1).open();
     assertEquals("fire b - 0\r\n\r\n", written(1));
-    connections.get(0).receives(ALIVE);
+    connections.get(0).receive(ALIVE);
     assertEquals("there p0\r\nfire a - 0\r\n\r\n", written(0));
     assertEquals(List.of(), violations);
   }
@@ -95,7 +95,7 @@
   void waitingRequestsEndIfTheProbeIsDeniedOrUnanswered() {
     ConnectionPool pool = pool();
     submit(pool, "a", true);
-    connections.get(0).open().receives("p0 dead - 0\r\n\r\n");
+    connections.get(0).open().receive("p0 dead - 0\r\n\r\n");
     submit(pool, "b", true);
     transport.run(Span.ofMillis(450));
     assertEquals(List.of("a UNPROVEN", "b UNPROVEN"), outcomes);
@@ -111,7 +111,7 @@
   @Test
   void aHostThatRefusesTheConnectionForAProbeIsUnreachable() {
     submit(pool(), "a", true);
-    connections.get(0).breaks("no connection: Connection refused");
+    connections.get(0).breakOff("no connection: Connection refused");
     assertEquals(List.of("a CONNECT_FAILED"), outcomes);
   }
 
@@ -127,7 +127,7 @@
     transport.run(Span.ofMillis(101));
     connections.get(0).open();
     assertEquals("there p0\r\n", written(0));
-    connections.get(0).receives(ALIVE);
+    connections.get(0).receive(ALIVE);
     assertEquals("there p0\r\nfire a - 0\r\n\r\n", written(0));
   }
 
@@ -135,9 +135,9 @@
   void servedWorkRenewsTheLeaseFromWhenItWasSent() {
     ConnectionPool pool = pool();
     submit(pool, "a", true);
-    connections.get(0).open().receives(ALIVE);
+    connections.get(0).open().receive(ALIVE);
     transport.run(Span.ofMillis(700));
-    connections.get(0).receives("a 200 - 0\r\n\r\n");
+    connections.get(0).receive("a 200 - 0\r\n\r\n");
     transport.run(Span.ofMillis(99));
     submit(pool, "b", true);
     assertTrue(written(0).endsWith("fire b - 0\r\n\r\n"));
@@ -152,8 +152,8 @@
   void aHostThatIsFullIsProbedBeforeMoreNewWork() {
     ConnectionPool pool = pool();
     submit(pool, "a", true);
-    connections.get(0).open().receives(ALIVE);
-    connections.get(0).receives("a 503 - 0\r\n\r\n");
+    connections.get(0).open().receive(ALIVE);
+    connections.get(0).receive("a 503 - 0\r\n\r\n");
     submit(pool, "b", true);
     assertTrue(written(0).endsWith("there p1\r\n"), written(0));
   }
@@ -165,7 +165,7 @@
   void unsentBytesAreDiscardedOnceTheLeaseHasEnded() {
     ConnectionPool pool = pool();
     submit(pool, "a", true);
-    connections.get(0).open().receives(ALIVE);
+    connections.get(0).open().receive(ALIVE);
     connections.get(0).unsent = 10;
     transport.run(Span.ofMillis(799));
     assertTrue(!connections.get(0).aborted);
@@ -187,7 +187,7 @@
     ConnectionPool pool = pool();
     Request request = submit(pool, "a", true);
     assertTrue(pool.withdraw(request));
-    connections.get(0).open().receives(ALIVE);
+    connections.get(0).open().receive(ALIVE);
     assertEquals("there p0\r\n", written(0));
     assertEquals(List.of(), outcomes);
   }
--- a/src/test/java/flintlead/platform/upstream/VirtualConnection.java
+++ b/src/test/java/flintlead/platform/upstream/VirtualConnection.java
@@ -36,19 +36,19 @@
   }
 
   /** Delivers bytes from the host. */
-  void receives(String text) {
+  void receive(String text) {
     listener.received(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII));
     transport.run(Span.ZERO);
   }
 
   /** Breaks the connection and runs the events that result from it. */
-  void breaks(String error) {
-    breaksAlone(error);
+  void breakOff(String error) {
+    breakOffWithoutEvents(error);
     transport.run(Span.ZERO);
   }
 
   /** Breaks the connection without running the events that result from it. */
-  void breaksAlone(String error) {
+  void breakOffWithoutEvents(String error) {
     listener.closed(error);
   }
 
