--- a/src/main/java/flintlead/platform/HostOperations.java
+++ b/src/main/java/flintlead/platform/HostOperations.java
@@ -71,7 +71,7 @@
   void unload(long host, long function) {
     ConnectionPool pool = pools.get(host);
     if (pool != null) {
-      pool.sendCommand(HostProtocol.retire(function));
+      pool.sendCommand(HostProtocol.unloadCommand(function));
     }
   }
 
@@ -162,7 +162,7 @@
 
     @Override
     protected void write(ByteBuf out) {
-      HostProtocol.writeProbe(out, tag());
+      HostProtocol.writeLoadProbe(out, tag());
     }
   }
 }
--- a/src/main/java/flintlead/platform/upstream/HostConnection.java
+++ b/src/main/java/flintlead/platform/upstream/HostConnection.java
@@ -158,7 +158,7 @@
       return;
     }
     if (request.isCancellable()) {
-      sendCommand(HostProtocol.cancel(request.tag()));
+      sendCommand(HostProtocol.cancelCommand(request.tag()));
     }
     if (!lastReceivedAt.isAfter(request.sentAt())) {
       suspect = true;
--- a/src/main/java/flintlead/platform/upstream/HostLeaseRenewal.java
+++ b/src/main/java/flintlead/platform/upstream/HostLeaseRenewal.java
@@ -176,7 +176,7 @@
 
     @Override
     protected void write(ByteBuf out) {
-      HostProtocol.writeAlivenessProbe(out, tag());
+      HostProtocol.writeLivenessProbe(out, tag());
     }
 
     @Override
--- a/src/main/java/flintlead/platform/upstream/HostProtocol.java
+++ b/src/main/java/flintlead/platform/upstream/HostProtocol.java
@@ -11,7 +11,7 @@
 public final class HostProtocol {
 
   private static final int FUNCTION_DIGITS = 16;
-  private static final int TYPICAL_FIRE_LINE = 160;
+  private static final int TYPICAL_FIRE_LINE_CHARS = 160;
 
   private HostProtocol() {}
 
@@ -30,7 +30,7 @@
       String idempotencyKey,
       byte[] body) {
     StringBuilder line =
-        new StringBuilder(TYPICAL_FIRE_LINE)
+        new StringBuilder(TYPICAL_FIRE_LINE_CHARS)
             .append("fire ")
             .append(tag)
             .append(" cls=")
@@ -56,22 +56,22 @@
   }
 
   /** Appends the command that requests the host's load report. */
-  public static void writeProbe(ByteBuf out, String tag) {
+  public static void writeLoadProbe(ByteBuf out, String tag) {
     writeLine(out, "busy " + tag);
   }
 
   /** Appends the command that asks whether the host is alive and accepts new work. */
-  static void writeAlivenessProbe(ByteBuf out, String tag) {
+  static void writeLivenessProbe(ByteBuf out, String tag) {
     writeLine(out, "there " + tag);
   }
 
   /** The command that allows the host to unload a function. It has no response. */
-  public static String retire(long function) {
+  public static String unloadCommand(long function) {
     return "retire " + hex(function);
   }
 
   /** The command that cancels the request with this tag. It has no response. */
-  static String cancel(String tag) {
+  static String cancelCommand(String tag) {
     return "never_mind " + tag;
   }
 
--- a/src/main/java/flintlead/platform/upstream/HostResponseParser.java
+++ b/src/main/java/flintlead/platform/upstream/HostResponseParser.java
@@ -12,11 +12,11 @@
  */
 public final class HostResponseParser {
 
-  private static final int MAX_LINE = 1_024;
-  private static final int MAX_TAG = 64;
+  private static final int MAX_LINE_BYTES = 1_024;
+  private static final int MAX_TAG_LENGTH = 64;
   private static final int MAX_LENGTH_DIGITS = 7;
-  private static final int WORDS = 4;
-  private static final int MIN_BUFFER = 256;
+  private static final int LINE_PARTS = 4;
+  private static final int MIN_BUFFER_BYTES = 256;
 
   /** Receives the parsed responses. */
   public interface Listener {
@@ -29,10 +29,10 @@
   }
 
   /** The first line of a response. */
-  private record Head(String tag, String status, String fields, int bodyLength) {}
+  private record FirstLine(String tag, String status, String fields, int bodyLength) {}
 
-  private final int maxBody;
-  private final Listener sink;
+  private final int maxBodyBytes;
+  private final Listener listener;
 
   /** Bytes of an incomplete response. */
   private ByteBuf partial = Unpooled.EMPTY_BUFFER;
@@ -40,16 +40,16 @@
   private boolean ended;
 
   /** The first line of a response whose body is incomplete; null if there is no such response. */
-  private Head head;
+  private FirstLine firstLine;
 
   /**
    * Creates a parser that expects the beginning of a response.
    *
-   * @param maxBody maximum bytes of a body
+   * @param maxBodyBytes maximum bytes of a body
    */
-  public HostResponseParser(int maxBody, Listener sink) {
-    this.maxBody = maxBody;
-    this.sink = sink;
+  public HostResponseParser(int maxBodyBytes, Listener listener) {
+    this.maxBodyBytes = maxBodyBytes;
+    this.listener = listener;
   }
 
   /** Parses the bytes. The caller keeps ownership of the buffer. */
@@ -71,13 +71,14 @@
     } else if (input == partial) {
       partial.discardReadBytes();
     } else {
-      partial = Unpooled.buffer(Math.max(MIN_BUFFER, input.readableBytes())).writeBytes(input);
+      partial =
+          Unpooled.buffer(Math.max(MIN_BUFFER_BYTES, input.readableBytes())).writeBytes(input);
     }
   }
 
   /** Whether an incomplete response has been received. */
   public boolean hasPartialResponse() {
-    return !ended && (head != null || partial.isReadable());
+    return !ended && (firstLine != null || partial.isReadable());
   }
 
   /** Stops parsing; further input is ignored. */
@@ -87,34 +88,34 @@
 
   /** Parses one response; returns false if it is incomplete or malformed. */
   private boolean parseResponse(ByteBuf in) {
-    if (head == null && !parseLine(in) || in.readableBytes() < head.bodyLength + 2) {
+    if (firstLine == null && !parseLine(in) || in.readableBytes() < firstLine.bodyLength + 2) {
       return false;
     }
-    int end = in.readerIndex() + head.bodyLength;
+    int end = in.readerIndex() + firstLine.bodyLength;
     if (in.getByte(end) != '\r' || in.getByte(end + 1) != '\n') {
       return fail("response body is not followed by CR LF");
     }
-    ByteBuf body = in.slice(in.readerIndex(), head.bodyLength);
-    Head response = head;
-    head = null;
+    ByteBuf body = in.slice(in.readerIndex(), firstLine.bodyLength);
+    FirstLine response = firstLine;
+    firstLine = null;
     in.readerIndex(end + 2);
-    sink.response(response.tag, response.status, new ResponseFields(response.fields), body);
+    listener.response(response.tag, response.status, new ResponseFields(response.fields), body);
     return true;
   }
 
   private boolean parseLine(ByteBuf in) {
     int start = in.readerIndex();
-    int end = in.indexOf(start, Math.min(in.writerIndex(), start + MAX_LINE), (byte) '\n');
+    int end = in.indexOf(start, Math.min(in.writerIndex(), start + MAX_LINE_BYTES), (byte) '\n');
     if (end < 0) {
-      return in.readableBytes() < MAX_LINE
+      return in.readableBytes() < MAX_LINE_BYTES
           ? false
-          : fail("first line of a response exceeds " + MAX_LINE + " bytes");
+          : fail("first line of a response exceeds " + MAX_LINE_BYTES + " bytes");
     }
     if (end == start || in.getByte(end - 1) != '\r') {
       return fail("first line of a response ends in LF without CR");
     }
-    head = parseHead(in.toString(start, end - 1 - start, StandardCharsets.ISO_8859_1));
-    if (head == null) {
+    firstLine = parseFirstLine(in.toString(start, end - 1 - start, StandardCharsets.ISO_8859_1));
+    if (firstLine == null) {
       return fail("first line of a response is not TAG STATUS FIELDS LENGTH, or exceeds a limit");
     }
     in.readerIndex(end + 1);
@@ -122,17 +123,17 @@
   }
 
   /** Parses the first line of a response; returns null if it is malformed. */
-  private Head parseHead(String line) {
-    String[] words = line.split(" ", WORDS + 1);
-    if (words.length != WORDS
-        || !isTag(words[0])
-        || !isTag(words[1])
-        || !isPrintable(words[2])
-        || !isLength(words[3])) {
+  private FirstLine parseFirstLine(String line) {
+    String[] parts = line.split(" ", LINE_PARTS + 1);
+    if (parts.length != LINE_PARTS
+        || !isTag(parts[0])
+        || !isTag(parts[1])
+        || !isPrintable(parts[2])
+        || !isLength(parts[3])) {
       return null;
     }
-    int length = Integer.parseInt(words[3]);
-    return length <= maxBody ? new Head(words[0], words[1], words[2], length) : null;
+    int length = Integer.parseInt(parts[3]);
+    return length <= maxBodyBytes ? new FirstLine(parts[0], parts[1], parts[2], length) : null;
   }
 
   private static boolean isTag(String word) {
@@ -142,7 +143,7 @@
         return false;
       }
     }
-    return !word.isEmpty() && word.length() <= MAX_TAG;
+    return !word.isEmpty() && word.length() <= MAX_TAG_LENGTH;
   }
 
   private static boolean isPrintable(String word) {
@@ -169,7 +170,7 @@
 
   private boolean fail(String reason) {
     end();
-    sink.malformed(reason);
+    listener.malformed(reason);
     return false;
   }
 }
--- a/src/main/java/flintlead/platform/upstream/ResponseFields.java
+++ b/src/main/java/flintlead/platform/upstream/ResponseFields.java
@@ -9,7 +9,7 @@
   /** No fields. */
   public static final ResponseFields NONE = new ResponseFields("-");
 
-  private static final String LOAD_REPORT = "meter";
+  private static final String LOAD_REPORT_FIELD = "meter";
   private static final int MAX_LOAD_REPORT_PARTS = 16;
   private static final int MAX_DIGITS = 9;
 
@@ -35,17 +35,17 @@
   }
 
   /**
-   * The value of a field as an integer of at most nine digits; {@code otherwise} if there is no
+   * The value of a field as an integer of at most nine digits; {@code defaultValue} if there is no
    * such value.
    */
-  public int number(String name, int otherwise) {
+  public int number(String name, int defaultValue) {
     String value = get(name);
     if (value == null || value.isEmpty() || value.length() > MAX_DIGITS) {
-      return otherwise;
+      return defaultValue;
     }
     for (int i = 0; i < value.length(); i++) {
       if (value.charAt(i) < '0' || value.charAt(i) > '9') {
-        return otherwise;
+        return defaultValue;
       }
     }
     return Integer.parseInt(value);
@@ -53,7 +53,7 @@
 
   /** Whether the response contains a load report. */
   public boolean hasLoadReport() {
-    return get(LOAD_REPORT) != null;
+    return get(LOAD_REPORT_FIELD) != null;
   }
 
   /**
@@ -61,7 +61,7 @@
    * NaN if there is none.
    */
   public float loadReportValue(String name) {
-    String report = get(LOAD_REPORT);
+    String report = get(LOAD_REPORT_FIELD);
     if (report == null) {
       return Float.NaN;
     }
--- a/src/test/java/flintlead/platform/upstream/HostProtocolTest.java
+++ b/src/test/java/flintlead/platform/upstream/HostProtocolTest.java
@@ -25,17 +25,17 @@
   }
 
   @Test
-  void anIdempotencyKeyGoesAlong() {
+  void anIdempotencyKeyIsSentAsTheNonce() {
     HostProtocol.writeFire(out, "9b1f", "lodge", "00aa", 1, "k-1", new byte[0]);
     assertEquals("fire 9b1f cls=lodge,item=00aa,limit=1,nonce=k-1 0\r\n\r\n", written());
   }
 
   @Test
-  void operationsAreLinesOfTheirOwn() {
+  void commandsWithoutABodyAreSingleLines() {
     HostProtocol.writeProvision(out, "g0", 0xaa, 2);
-    HostProtocol.writeProbe(out, "g1");
-    HostProtocol.writeLine(out, HostProtocol.retire(-1));
-    HostProtocol.writeLine(out, HostProtocol.cancel("9b1f"));
+    HostProtocol.writeLoadProbe(out, "g1");
+    HostProtocol.writeLine(out, HostProtocol.unloadCommand(-1));
+    HostProtocol.writeLine(out, HostProtocol.cancelCommand("9b1f"));
     assertEquals(
         "provision g0 item=00000000000000aa,units=2\r\nbusy g1\r\nretire ffffffffffffffff\r\n"
             + "never_mind 9b1f\r\n",
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void statusWordsAreOutcomes() {
+  void statusWordsAreMappedToOutcomes() {
     assertEquals(Outcome.OK, HostProtocol.outcomeOf("200"));
     assertEquals(Outcome.OK, HostProtocol.outcomeOf("alive"));
     assertEquals(Outcome.MISS, HostProtocol.outcomeOf("404"));
--- a/src/test/java/flintlead/platform/upstream/HostResponseParserTest.java
+++ b/src/test/java/flintlead/platform/upstream/HostResponseParserTest.java
@@ -24,17 +24,17 @@
  */
 class HostResponseParserTest {
 
-  private static final int BODY_MOST = 2_000;
-  private final List<String> out = new ArrayList<>();
+  private static final int MAX_BODY_BYTES = 2_000;
+  private final List<String> parsed = new ArrayList<>();
 
-  private HostResponseParser lines() {
-    out.clear();
+  private HostResponseParser newParser() {
+    parsed.clear();
     return new HostResponseParser(
-        BODY_MOST,
+        MAX_BODY_BYTES,
         new HostResponseParser.Listener() {
           @Override
           public void response(String id, String word, ResponseFields fields, ByteBuf body) {
-            out.add(
+            parsed.add(
                 id
                     + " "
                     + word
@@ -46,13 +46,13 @@
 
           @Override
           public void malformed(String reason) {
-            out.add("malformed");
+            parsed.add("malformed");
           }
         });
   }
 
-  private static void feed(HostResponseParser lines, String text) {
-    lines.feed(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
+  private static void feed(HostResponseParser parser, String text) {
+    parser.feed(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
   }
 
   @Property(tries = 300, seed = "4714")
@@ -71,25 +71,25 @@
           .append("\r\n");
       expected.add("id" + length + " 200 hot " + body);
     }
-    HostResponseParser lines = lines();
+    HostResponseParser parser = newParser();
     Random random = new Random(seed);
     for (int from = 0; from < text.length(); ) {
       int to = Math.min(text.length(), from + 1 + random.nextInt(200));
-      feed(lines, text.substring(from, to));
+      feed(parser, text.substring(from, to));
       from = to;
     }
-    assertEquals(expected, out);
-    assertTrue(!lines.hasPartialResponse());
+    assertEquals(expected, parsed);
+    assertTrue(!parser.hasPartialResponse());
   }
 
   @Property(tries = 500, seed = "4715")
-  void arbitraryBytesEndInResponsesOrOneFault(@ForAll byte[] bytes) {
-    HostResponseParser lines = lines();
-    lines.feed(Unpooled.wrappedBuffer(bytes));
-    feed(lines, "x".repeat(2_000));
+  void arbitraryBytesAreReportedAsMalformedExactlyOnce(@ForAll byte[] bytes) {
+    HostResponseParser parser = newParser();
+    parser.feed(Unpooled.wrappedBuffer(bytes));
+    feed(parser, "x".repeat(2_000));
     assertEquals(
         1,
-        out.stream().filter("malformed"::equals).count(),
+        parsed.stream().filter("malformed"::equals).count(),
         "a line without an end is malformed after 1 KiB at the latest");
   }
 
@@ -108,12 +108,12 @@
         "a 200 - 3 4\r\n",
         "a  200 - 3\r\n"
       })
-  void malformedInputIsAFault(String text) {
-    HostResponseParser lines = lines();
-    feed(lines, text);
-    feed(lines, "b 200 - 1\r\nx\r\n");
+  void malformedInputStopsTheParser(String text) {
+    HostResponseParser parser = newParser();
+    feed(parser, text);
+    feed(parser, "b 200 - 1\r\nx\r\n");
     assertEquals(
-        List.of("malformed"), out, "parsing stops: what follows cannot be told from a body");
+        List.of("malformed"), parsed, "parsing stops: what follows cannot be told from a body");
   }
 
   @Test
