--- a/src/main/java/flintlead/platform/journal/HeartbeatAge.java
+++ b/src/main/java/flintlead/platform/journal/HeartbeatAge.java
@@ -21,17 +21,17 @@
   /**
    * Creates an instance for a connection on which nothing has arrived.
    *
-   * @param askedAt when the heartbeats were requested
+   * @param requestedAt when the heartbeats were requested
    */
-  HeartbeatAge(Moment askedAt) {
-    this.earliest = askedAt.minus(INTERVAL);
+  HeartbeatAge(Moment requestedAt) {
+    this.earliest = requestedAt.minus(INTERVAL);
   }
 
   /**
    * Returns the earliest time at which the heartbeat that arrives now can have been written. Must
    * be called for each heartbeat, in their order.
    */
-  Moment earliestWriting(Moment arrivedAt) {
+  Moment earliestWriteTime(Moment arrivedAt) {
     earliest = Moment.earlier(arrivedAt, earliest.plus(INTERVAL));
     return earliest;
   }
--- a/src/main/java/flintlead/platform/journal/HostEventProcessor.java
+++ b/src/main/java/flintlead/platform/journal/HostEventProcessor.java
@@ -38,7 +38,7 @@
   }
 
   /** A host's start time, as given by the journal and as a moment of the gateway's clock. */
-  private record Start(long unixMillis, Moment at) {}
+  private record StartTime(long unixMillis, Moment moment) {}
 
   private final List<String> zones;
   private final List<String> kinds;
@@ -49,7 +49,7 @@
    * The start time of each listed host. Converted only once: the system clock may be set, and a
    * repeated start time must not become a later moment.
    */
-  private final Map<Long, Start> starts = new HashMap<>();
+  private final Map<Long, StartTime> starts = new HashMap<>();
 
   private long lastPosition;
 
@@ -158,19 +158,19 @@
       throw new IllegalArgumentException(
           "endpoint " + name + ": since_ms is negative or above 2^52");
     }
-    Start start = starts.get(host);
+    StartTime start = starts.get(host);
     if (start == null || start.unixMillis != since) {
-      start = new Start(since, toMomentAfterZero(since));
+      start = new StartTime(since, toStartMoment(since));
       starts.put(host, start);
     }
-    return start.at;
+    return start.moment;
   }
 
   /**
    * Converts a start time. Moment 0 is reserved for hosts without a start time, which count as
    * started in the distant past; any other host gets a later moment.
    */
-  private Moment toMomentAfterZero(long unixMillis) {
+  private Moment toStartMoment(long unixMillis) {
     return unixMillis == 0
         ? new Moment(0)
         : Moment.later(new Moment(1), toMoment.apply(unixMillis));
@@ -181,11 +181,11 @@
     return name instanceof String text ? Math.max(0, names.indexOf(text)) : 0;
   }
 
-  private static Map<?, ?> map(Object value, String what) {
+  private static Map<?, ?> map(Object value, String description) {
     if (value instanceof Map<?, ?> map) {
       return map;
     }
-    throw new IllegalArgumentException(what + " is missing or not an object");
+    throw new IllegalArgumentException(description + " is missing or not an object");
   }
 
   private static String text(Map<?, ?> members, String key) {
--- a/src/main/java/flintlead/platform/journal/JournalClient.java
+++ b/src/main/java/flintlead/platform/journal/JournalClient.java
@@ -93,7 +93,7 @@
       address = to;
       failures.reset();
       if (current != null) {
-        current.drop();
+        current.closeQuietly();
       }
       watch();
     }
@@ -103,17 +103,17 @@
   public void stop() {
     stopped = true;
     if (current != null) {
-      current.drop();
+      current.closeQuietly();
     }
   }
 
   private void watch() {
     current = new Watch();
     current.stream = transport.connect(address, current);
-    current.expectInputWithin(CONNECT_TIMEOUT);
+    current.restartTimeout(CONNECT_TIMEOUT);
   }
 
-  private void failed(Watch watch, String reason) {
+  private void retryAfterFailure(Watch watch, String reason) {
     int doublings = Math.min(failures.count(), MAX_DOUBLINGS);
     Span limit = Span.shorter(MAX_BACKOFF, FIRST_BACKOFF.times(1L << doublings));
     if (stopped) {
@@ -138,7 +138,7 @@
     private boolean closed;
     private HeartbeatAge heartbeats;
 
-    void expectInputWithin(Span timeout) {
+    void restartTimeout(Span timeout) {
       cancelTimeout.run();
       cancelTimeout =
           loop.scheduleAfter(
@@ -154,7 +154,7 @@
         heartbeats = new HeartbeatAge(loop.now());
         String command = "tail " + events.lastPosition() + "\n";
         stream.write(Unpooled.copiedBuffer(command, StandardCharsets.US_ASCII));
-        expectInputWithin(SILENCE_TIMEOUT);
+        restartTimeout(SILENCE_TIMEOUT);
       }
     }
 
@@ -176,7 +176,7 @@
           return;
         }
         failures.succeeded(loop.now());
-        expectInputWithin(SILENCE_TIMEOUT);
+        restartTimeout(SILENCE_TIMEOUT);
       } catch (IllegalArgumentException e) {
         fail(e.getMessage());
       }
@@ -201,7 +201,7 @@
      * behind does not know all events that another instance of the service has sent.
      */
     private boolean heartbeat(long position) {
-      Moment writtenAt = heartbeats.earliestWriting(stream.earliestArrival());
+      Moment writtenAt = heartbeats.earliestWriteTime(stream.earliestArrival());
       if (position == events.lastPosition()) {
         leases.listConfirmed(writtenAt);
       }
@@ -222,7 +222,7 @@
     }
 
     /** Closes the connection without logging or scheduling anything. */
-    void drop() {
+    void closeQuietly() {
       if (!closed) {
         closed = true;
         cancelTimeout.run();
@@ -233,8 +233,8 @@
 
     private void fail(String reason) {
       if (!closed) {
-        drop();
-        failed(this, reason);
+        closeQuietly();
+        retryAfterFailure(this, reason);
       }
     }
   }
--- a/src/test/java/flintlead/platform/journal/HeartbeatAgeTest.java
+++ b/src/test/java/flintlead/platform/journal/HeartbeatAgeTest.java
@@ -15,8 +15,8 @@
   }
 
   @Test
-  void theFirstMayBeAsOldAsTheQuestion() {
-    assertEquals(at(0), new HeartbeatAge(at(0)).earliestWriting(at(900)));
+  void theFirstHeartbeatMayBeAsOldAsTheRequest() {
+    assertEquals(at(0), new HeartbeatAge(at(0)).earliestWriteTime(at(900)));
   }
 
   /**
@@ -24,31 +24,31 @@
    * time goes by.
    */
   @Test
-  void heartbeatsInTimeAreYoungHoweverLongTheConnectionLasts() {
+  void timelyHeartbeatsCountAsRecentHoweverLongTheConnectionLasts() {
     HeartbeatAge ages = new HeartbeatAge(at(0));
     for (int i = 1; i < 10_000; i++) {
       Moment arrived = at(i * 1_010);
-      Span age = arrived.since(ages.earliestWriting(arrived));
+      Span age = arrived.since(ages.earliestWriteTime(arrived));
       assertTrue(age.isShorterThan(Span.ofMillis(1_011)), "heartbeat " + i);
     }
   }
 
   @Test
-  void heartbeatsThatComeLaterAndLaterAreOld() {
+  void increasinglyLateHeartbeatsCountAsOld() {
     HeartbeatAge ages = new HeartbeatAge(at(0));
     Moment written = null;
     for (int i = 1; i <= 10; i++) {
-      written = ages.earliestWriting(at(i * 1_500));
+      written = ages.earliestWriteTime(at(i * 1_500));
     }
     assertEquals(at(9 * 1_050), written, "the tenth heartbeat arrives after 15 s");
   }
 
   @Test
-  void aBurstOfHeartbeatsIsNoYoungerThanItsArrival() {
+  void aBurstOfHeartbeatsIsNotDatedAfterItsArrival() {
     HeartbeatAge ages = new HeartbeatAge(at(0));
     for (int i = 0; i < 5; i++) {
-      ages.earliestWriting(at(1_000));
+      ages.earliestWriteTime(at(1_000));
     }
-    assertEquals(at(1_000), ages.earliestWriting(at(1_000)));
+    assertEquals(at(1_000), ages.earliestWriteTime(at(1_000)));
   }
 }
