--- a/src/main/java/flintlead/platform/AttemptRunner.java
+++ b/src/main/java/flintlead/platform/AttemptRunner.java
@@ -78,9 +78,9 @@
    * Ends an attempt early. An attempt that was never sent cannot have run, so it ends as {@code
    * WITHDRAWN} whatever the reason for ending it is.
    */
-  private void withdraw(HostAttempt attempt, Outcome ifSent) {
+  private void withdraw(HostAttempt attempt, Outcome outcomeIfSent) {
     if (!attempt.hasOutcome()) {
-      endLater(attempt, attempt.withdraw() ? Outcome.WITHDRAWN : ifSent);
+      endLater(attempt, attempt.withdraw() ? Outcome.WITHDRAWN : outcomeIfSent);
     }
   }
 
--- a/src/main/java/flintlead/platform/HostAttempt.java
+++ b/src/main/java/flintlead/platform/HostAttempt.java
@@ -26,7 +26,7 @@
   private final ConnectionPool pool;
 
   /** The time limit that was sent to the host; set when the attempt is written. */
-  private Span granted = Span.ZERO;
+  private Span grantedTime = Span.ZERO;
 
   private Runnable abandonTimer = () -> {};
   private Outcome outcome;
@@ -116,13 +116,15 @@
   /**
    * The latest time up to which both the client's connection and the other socket events are known.
    */
-  private Moment seenAt(Moment deliveredUpTo) {
+  private Moment stateKnownAt(Moment deliveredUpTo) {
     return Moment.earlier(invocation.client().seenOpenAt(), deliveredUpTo);
   }
 
   @Override
   protected SendVerdict maySend(Moment deliveredUpTo, Moment clock) {
-    return runner.guard().maySend(invocation.record(), seenAt(deliveredUpTo), abandonAt, clock);
+    return runner
+        .guard()
+        .maySend(invocation.record(), stateKnownAt(deliveredUpTo), abandonAt, clock);
   }
 
   @Override
@@ -132,14 +134,14 @@
 
   @Override
   protected void writtenToSocket(Moment clock) {
-    runner.guard().sent(invocation.record(), invocation.client().seenOpenAt(), granted, clock);
+    runner.guard().sent(invocation.record(), invocation.client().seenOpenAt(), grantedTime, clock);
     invocation.record().note(clock, "attempt " + number + " sent");
   }
 
   @Override
   protected void write(ByteBuf out) {
     long grantedMillis = runner.remainingMillis(abandonAt);
-    granted = Span.ofMillis(grantedMillis);
+    grantedTime = Span.ofMillis(grantedMillis);
     HostProtocol.writeFire(
         out,
         tag(),
--- a/src/main/java/flintlead/platform/HostFeedback.java
+++ b/src/main/java/flintlead/platform/HostFeedback.java
@@ -12,7 +12,7 @@
 final class HostFeedback {
 
   /** Values for how the host obtained an instance, in the lower bits of a remark. */
-  private static final int NOT_TOLD = 0;
+  private static final int NOT_REPORTED = 0;
 
   private static final int INSTANCE_WAS_IDLE = 1;
   private static final int INSTANCE_WAS_STARTED = 2;
@@ -38,25 +38,26 @@
    * failed load, plus eight times the number of requests that were ahead.
    */
   int remark(Outcome outcome, ResponseFields fields) {
-    int found = found(fields.get("tell"));
+    int instanceSource = instanceSource(fields.get("tell"));
     return switch (outcome) {
       case OK, FULL ->
-          (found == LOAD_FAILED ? NOT_TOLD : found) + REQUESTS_AHEAD_FACTOR * requestsAhead(fields);
-      case ERROR, MISS -> found == LOAD_FAILED ? LOAD_FAILED : NOT_TOLD;
-      default -> NOT_TOLD;
+          (instanceSource == LOAD_FAILED ? NOT_REPORTED : instanceSource)
+              + REQUESTS_AHEAD_FACTOR * requestsAhead(fields);
+      case ERROR, MISS -> instanceSource == LOAD_FAILED ? LOAD_FAILED : NOT_REPORTED;
+      default -> NOT_REPORTED;
     };
   }
 
-  private static int found(String word) {
+  private static int instanceSource(String word) {
     if (word == null) {
-      return NOT_TOLD;
+      return NOT_REPORTED;
     }
     return switch (word) {
       case "hot" -> INSTANCE_WAS_IDLE;
       case "started" -> INSTANCE_WAS_STARTED;
       case "waited" -> WAITED_FOR_INSTANCE;
       case "broken" -> LOAD_FAILED;
-      default -> NOT_TOLD;
+      default -> NOT_REPORTED;
     };
   }
 
--- a/src/test/java/flintlead/platform/HostFeedbackTest.java
+++ b/src/test/java/flintlead/platform/HostFeedbackTest.java
@@ -26,7 +26,7 @@
 
   private static ResponseFields fields(String text) {
     List<ResponseFields> parsed = new ArrayList<>();
-    HostResponseParser.Listener sink =
+    HostResponseParser.Listener listener =
         new HostResponseParser.Listener() {
           @Override
           public void response(String tag, String status, ResponseFields fields, ByteBuf body) {
@@ -38,7 +38,7 @@
             throw new AssertionError(reason);
           }
         };
-    new HostResponseParser(10, sink)
+    new HostResponseParser(10, listener)
         .feed(Unpooled.copiedBuffer("a 200 " + text + " 0\r\n\r\n", StandardCharsets.US_ASCII));
     return parsed.get(0);
   }
@@ -59,13 +59,13 @@
     "MISS, -, 0",
     "TIMEOUT, 'tell=hot,ahead=2', 0"
   })
-  void theRemarkHoldsHowAnInstanceWasFoundAndTheRequestsAhead(
+  void theRemarkEncodesHowAnInstanceWasObtainedAndTheRequestsAhead(
       Outcome outcome, String fields, int remark) {
     assertEquals(remark, feedback.remark(outcome, fields(fields)));
   }
 
   @Test
-  void requestsAheadCountOnlyWhereTheDeploymentTellsThem() {
+  void requestsAheadCountOnlyIfTheDeploymentReportsThem() {
     HostFeedback without = new HostFeedback(StartupSettings.parseLines("").deployment());
     assertEquals(1, without.remark(Outcome.OK, fields("tell=hot,ahead=2")));
   }
