--- a/src/test/java/flintlead/platform/DiscoveryOutageTest.java
+++ b/src/test/java/flintlead/platform/DiscoveryOutageTest.java
@@ -29,13 +29,13 @@
   private static final int EARLY_DRAIN_MILLIS = 500;
   private static final int LATE_DRAIN_MILLIS = 5_500;
   private static final int OUTAGE_MILLIS = 9_000;
-  private static final int AFTER_MILLIS = 1_500;
+  private static final int RECOVERY_MILLIS = 1_500;
 
   @TempDir private Path folder;
 
   /** One scenario; returns the violations that it has found. */
   private interface Scenario {
-    List<String> play(OutageRig rig) throws IOException, InterruptedException;
+    List<String> run(OutageRig rig) throws IOException, InterruptedException;
   }
 
   private CompletableFuture<List<String>> begin(String name, Scenario scenario) {
@@ -46,9 +46,9 @@
               try {
                 Path own = Files.createDirectory(folder.resolve(name));
                 try (OutageRig rig = new OutageRig(own)) {
-                  List<String> found = new ArrayList<>();
-                  scenario.play(rig).forEach(fault -> found.add(name + ": " + fault));
-                  done.complete(found);
+                  List<String> violations = new ArrayList<>();
+                  scenario.run(rig).forEach(fault -> violations.add(name + ": " + fault));
+                  done.complete(violations);
                 }
               } catch (Exception | AssertionError e) {
                 done.completeExceptionally(e);
@@ -58,10 +58,10 @@
     return done;
   }
 
-  private static void verify(List<CompletableFuture<List<String>>> plays) {
-    List<String> found = new ArrayList<>();
-    plays.forEach(play -> found.addAll(play.join()));
-    assertEquals(List.of(), found, () -> String.join("\n", found));
+  private static void verify(List<CompletableFuture<List<String>>> runs) {
+    List<String> violations = new ArrayList<>();
+    runs.forEach(run -> violations.addAll(run.join()));
+    assertEquals(List.of(), violations, () -> String.join("\n", violations));
   }
 
   private static void pause(long millis) {
@@ -69,37 +69,37 @@
   }
 
   /** Two hosts drain right after the outage begins, and two more late in the outage. */
-  private static List<String> drainsDuringOutage(OutageRig rig, Outage way)
+  private static List<String> drainsDuringOutage(OutageRig rig, Outage outage)
       throws IOException, InterruptedException {
     rig.startGateway();
     rig.startClients();
     pause(WARM_UP_MILLIS);
-    rig.beginOutage(way);
+    rig.beginOutage(outage);
     pause(EARLY_DRAIN_MILLIS);
     rig.drain(0, 1);
     pause(LATE_DRAIN_MILLIS - EARLY_DRAIN_MILLIS);
     rig.drain(2, 3);
     pause(OUTAGE_MILLIS - LATE_DRAIN_MILLIS);
     rig.endOutage();
-    pause(AFTER_MILLIS);
+    pause(RECOVERY_MILLIS);
     rig.stopClients();
-    return rig.judge();
+    return rig.findViolations();
   }
 
   @Test
-  void nothingNewGoesToHostsThatDrainWhileTheJournalIsOutOfReach() {
-    List<CompletableFuture<List<String>>> plays = new ArrayList<>();
-    for (Outage way : Outage.values()) {
-      if (way != Outage.NONE) {
-        plays.add(begin(way.name(), rig -> drainsDuringOutage(rig, way)));
+  void noNewWorkIsSentToHostsThatDrainDuringAJournalOutage() {
+    List<CompletableFuture<List<String>>> runs = new ArrayList<>();
+    for (Outage outage : Outage.values()) {
+      if (outage != Outage.NONE) {
+        runs.add(begin(outage.name(), rig -> drainsDuringOutage(rig, outage)));
       }
     }
-    plays.add(begin("MOVED", DiscoveryOutageTest::movedToNowhere));
-    verify(plays);
+    runs.add(begin("MOVED", DiscoveryOutageTest::journalMovedToClosedPort));
+    verify(runs);
   }
 
   /** During the outage, SIGHUP changes the journal's address to one where nothing listens. */
-  private static List<String> movedToNowhere(OutageRig rig)
+  private static List<String> journalMovedToClosedPort(OutageRig rig)
       throws IOException, InterruptedException {
     rig.startGateway();
     rig.startClients();
@@ -107,12 +107,12 @@
     rig.beginOutage(Outage.SILENT);
     rig.drain(0, 1);
     pause(EARLY_DRAIN_MILLIS);
-    rig.moveJournalToNowhere();
+    rig.moveJournalToClosedPort();
     pause(LATE_DRAIN_MILLIS);
     rig.drain(2, 3);
     pause(OUTAGE_MILLIS - LATE_DRAIN_MILLIS);
     rig.stopClients();
-    return rig.judge();
+    return rig.findViolations();
   }
 
   /**
@@ -123,19 +123,20 @@
       throws IOException, InterruptedException {
     rig.beginOutage(Outage.REFUSED);
     rig.drain(0, 1, 2, 3);
-    pause(TimeUnit.SECONDS.toMillis(OutageRig.TOLD_AFTER_SECONDS) + 1_100);
+    pause(TimeUnit.SECONDS.toMillis(OutageRig.NOTIFIED_AFTER_SECONDS) + 1_100);
     rig.startGateway();
     rig.startClients();
     pause(WARM_UP_MILLIS);
     rig.stopClients();
-    return rig.judge();
+    return rig.findViolations();
   }
 
   /**
    * A host that left and returned as a new process is sent new work again, and then drains once
    * more.
    */
-  private static List<String> goneAndBack(OutageRig rig) throws IOException, InterruptedException {
+  private static List<String> hostsRestartDuringOutage(OutageRig rig)
+      throws IOException, InterruptedException {
     rig.startGateway();
     rig.startClients();
     pause(WARM_UP_MILLIS);
@@ -144,11 +145,11 @@
     pause(LATE_DRAIN_MILLIS);
     rig.restart(0);
     rig.restart(1);
-    pause(2 * AFTER_MILLIS);
+    pause(2 * RECOVERY_MILLIS);
     rig.drain(0, 1);
-    pause(2 * AFTER_MILLIS);
+    pause(2 * RECOVERY_MILLIS);
     rig.stopClients();
-    return rig.judge();
+    return rig.findViolations();
   }
 
   private static List<String> twoOutagesInARow(OutageRig rig)
@@ -156,25 +157,25 @@
     rig.startGateway();
     rig.startClients();
     pause(WARM_UP_MILLIS);
-    List<String> found = new ArrayList<>();
+    List<String> violations = new ArrayList<>();
     for (int outage = 0; outage < 2; outage++) {
       rig.beginOutage(outage == 0 ? Outage.RESET : Outage.SILENT);
       rig.drain(2 * outage, 2 * outage + 1);
       pause(OUTAGE_MILLIS);
       rig.endOutage();
-      pause(AFTER_MILLIS);
-      found.addAll(rig.judge());
+      pause(RECOVERY_MILLIS);
+      violations.addAll(rig.findViolations());
     }
     rig.stopClients();
-    return found;
+    return violations;
   }
 
   @Test
-  void nothingNewGoesToDrainedHostsAcrossStartsReturnsAndRepeatedOutages() {
+  void noNewWorkIsSentToDrainedHostsAcrossStartsRestartsAndRepeatedOutages() {
     verify(
         List.of(
             begin("STARTED", DiscoveryOutageTest::startedDuringOutage),
-            begin("BACK", DiscoveryOutageTest::goneAndBack),
+            begin("BACK", DiscoveryOutageTest::hostsRestartDuringOutage),
             begin("TWICE", DiscoveryOutageTest::twoOutagesInARow)));
   }
 }
--- a/src/test/java/flintlead/platform/FakeHost.java
+++ b/src/test/java/flintlead/platform/FakeHost.java
@@ -16,7 +16,7 @@
 final class FakeHost implements AutoCloseable {
 
   private static final int BACKLOG = 50;
-  private static final int FULL_BACKLOG_MILLIS = 300;
+  private static final int CONNECT_TIMEOUT_MILLIS = 300;
 
   /** A command line, with the time of {@link System#nanoTime} at which it was received. */
   record TimedCommand(String line, long nanos) {
@@ -80,7 +80,7 @@
     while (!full) {
       Socket filler = new Socket();
       try {
-        filler.connect(host.server.getLocalSocketAddress(), FULL_BACKLOG_MILLIS);
+        filler.connect(host.server.getLocalSocketAddress(), CONNECT_TIMEOUT_MILLIS);
         host.open.add(filler);
       } catch (SocketTimeoutException e) {
         filler.close();
--- a/src/test/java/flintlead/platform/FakeJournal.java
+++ b/src/test/java/flintlead/platform/FakeJournal.java
@@ -63,7 +63,7 @@
     this.events.addAll(events);
     listen(port);
     this.port = server.getLocalPort();
-    TestIo.inBackground(this::beat);
+    TestIo.inBackground(this::sendHeartbeats);
   }
 
   private void listen(int at) throws IOException {
@@ -95,7 +95,7 @@
   }
 
   /** Writes the last position each second, and delayed lines when they are due. */
-  private void beat() {
+  private void sendHeartbeats() {
     long next = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(HEARTBEAT_MILLIS);
     while (!closed) {
       LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(TICK_MILLIS));
@@ -103,7 +103,7 @@
       next += due ? TimeUnit.MILLISECONDS.toNanos(HEARTBEAT_MILLIS) : 0;
       synchronized (events) {
         for (Watch watch : watches) {
-          if (due && watch.hears()) {
+          if (due && watch.sendsHeartbeats()) {
             watch.write("{\"pos\":" + events.size() + "}\n");
           }
           watch.writeDue();
@@ -115,10 +115,10 @@
   // ---- outages ----
 
   /** Begins an outage, which lasts until {@link #endOutage}. */
-  void beginOutage(Outage way) throws IOException {
+  void beginOutage(Outage kind) throws IOException {
     synchronized (events) {
-      outage = way;
-      switch (way) {
+      outage = kind;
+      switch (kind) {
         case REFUSED -> {
           server.close();
           breakConnections();
@@ -184,7 +184,7 @@
         if (send) {
           watch.sendEvents();
         } else {
-          watch.holdBack();
+          watch.withholdEvents();
         }
       }
     }
@@ -228,7 +228,7 @@
     private final Socket socket;
     private final List<Line> delayed = new ArrayList<>();
     private int sent;
-    private boolean heldBack;
+    private boolean withholding;
 
     Watch(Socket socket, int sent) {
       this.socket = socket;
@@ -238,13 +238,13 @@
     /**
      * Whether the last position is written. After an event that was withheld it would reveal a gap.
      */
-    boolean hears() {
+    boolean sendsHeartbeats() {
       boolean silent = outage == Outage.SILENT || outage == Outage.HALF_LINE;
-      return !silent && !heldBack && !socket.isClosed();
+      return !silent && !withholding && !socket.isClosed();
     }
 
-    void holdBack() {
-      heldBack = true;
+    void withholdEvents() {
+      withholding = true;
     }
 
     void sendEvents() {
--- a/src/test/java/flintlead/platform/HostListRaceTest.java
+++ b/src/test/java/flintlead/platform/HostListRaceTest.java
@@ -35,7 +35,7 @@
    * journal.
    */
   @Test
-  void aJournalFailureReadsAChangedConfigurationAgain() throws Exception {
+  void aJournalFailureRereadsAChangedConfiguration() throws Exception {
     fixture = new PlatformFixture(1, 256).start();
     await().until(() -> fixture.journal.asked.size() == 1);
     FakeJournal other = fixture.anotherJournal();
@@ -55,10 +55,10 @@
   void aRestartedHostGetsNewConnectionsAndARepeatedEntryKeepsThem() throws Exception {
     fixture = new PlatformFixture(1, 256).start();
     FakeHost host = fixture.hosts.get(0);
-    List<Socket> by = new CopyOnWriteArrayList<>();
+    List<Socket> servedBy = new CopyOnWriteArrayList<>();
     host.script =
         (each, from, words, body) -> {
-          by.add(from);
+          servedBy.add(from);
           each.answer(from, words[1] + " 200 - ", body);
         };
     assertEquals(200, fixture.invoke(1, "x").status());
@@ -69,25 +69,25 @@
         .until(
             () ->
                 fixture.invoke(System.nanoTime() & 0xffffff, "x").status() == 200
-                    && by.get(by.size() - 1) != by.get(0));
-    Socket second = by.get(by.size() - 1);
-    assertNotSame(by.get(0), second);
+                    && servedBy.get(servedBy.size() - 1) != servedBy.get(0));
+    Socket second = servedBy.get(servedBy.size() - 1);
+    assertNotSame(servedBy.get(0), second);
     FakeHost marker = fixture.anotherHost("s-marker", 0);
     fixture.journal.add(true, host.endpoint("active", started), marker.endpoint("active"));
     await()
         .until(
             () -> {
-              String function = String.format("%04x", by.size() + marker.invocations());
+              String function = String.format("%04x", servedBy.size() + marker.invocations());
               return statusOf(function) == 200 && marker.invocations() > 0;
             });
-    int before = by.size();
+    int before = servedBy.size();
     await()
         .until(
             () -> {
               fixture.invoke(System.nanoTime() & 0xffffff, "x");
-              return by.size() > before;
+              return servedBy.size() > before;
             });
-    assertSame(second, by.get(by.size() - 1));
+    assertSame(second, servedBy.get(servedBy.size() - 1));
   }
 
   /**
--- a/src/test/java/flintlead/platform/OutageRig.java
+++ b/src/test/java/flintlead/platform/OutageRig.java
@@ -22,7 +22,7 @@
   /**
    * Time after the beginning of an outage from which the gateway counts as notified of all changes.
    */
-  static final long TOLD_AFTER_SECONDS = 4;
+  static final long NOTIFIED_AFTER_SECONDS = 4;
 
   private static final int DESCRIPTORS = 512;
   private static final int HOSTS = 8;
@@ -41,7 +41,7 @@
    */
   private static final long GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_050);
 
-  private static final double MIN_SERVED = 0.95;
+  private static final double MIN_SERVED_SHARE = 0.95;
 
   /**
    * Maximum probes per second that one host accepts from all gateways together. One gateway needs
@@ -54,12 +54,12 @@
   private final PlatformFixture fixture;
   private final Path folder;
   private final List<Drain> drains = new ArrayList<>();
-  private final AtomicInteger served = new AtomicInteger();
-  private final AtomicInteger asked = new AtomicInteger();
+  private final AtomicInteger requestsServed = new AtomicInteger();
+  private final AtomicInteger requestsSent = new AtomicInteger();
   private final List<Thread> clients = new ArrayList<>();
   private PlatformProcess process;
   private long outageBeganNanos;
-  private volatile boolean traffic;
+  private volatile boolean clientsRunning;
 
   OutageRig(Path folder) throws IOException {
     this.folder = folder;
@@ -78,7 +78,7 @@
   // ---- clients ----
 
   void startClients() {
-    traffic = true;
+    clientsRunning = true;
     for (int i = 0; i < CLIENTS; i++) {
       int client = i;
       Thread thread = new Thread(() -> runClient(client), "outage-client-" + i);
@@ -89,11 +89,11 @@
 
   private void runClient(int client) {
     try (TestClient connection = fixture.client()) {
-      for (long number = 1; traffic; number++) {
+      for (long number = 1; clientsRunning; number++) {
         long id = number * CLIENTS + client;
-        asked.incrementAndGet();
+        requestsSent.incrementAndGet();
         if (connection.send(request(id)).response().status() == 200) {
-          served.incrementAndGet();
+          requestsServed.incrementAndGet();
         }
         Thread.sleep(CLIENT_PAUSE_MILLIS);
       }
@@ -110,13 +110,13 @@
             : "X-Class: lodge\r\nX-Ttl-Ms: 1360\r\nX-Txn-Key: "
                 + String.format("%032x", id)
                 + "\r\n";
-    long retired = id / REQUESTS_PER_NEW_FUNCTION;
-    String function = String.format("%016x", 0x1000 + retired + id % FUNCTIONS);
+    long retiredFunctions = id / REQUESTS_PER_NEW_FUNCTION;
+    String function = String.format("%016x", 0x1000 + retiredFunctions + id % FUNCTIONS);
     return PlatformFixture.call(id, headers, "x").replace("00000000000000aa", function);
   }
 
   void stopClients() throws InterruptedException {
-    traffic = false;
+    clientsRunning = false;
     for (Thread client : clients) {
       client.join();
     }
@@ -124,11 +124,11 @@
 
   // ---- faults ----
 
-  void beginOutage(Outage way) throws IOException {
+  void beginOutage(Outage outage) throws IOException {
     outageBeganNanos = System.nanoTime();
-    asked.set(0);
-    served.set(0);
-    fixture.journal.beginOutage(way);
+    requestsSent.set(0);
+    requestsServed.set(0);
+    fixture.journal.beginOutage(outage);
   }
 
   void endOutage() throws IOException {
@@ -139,7 +139,7 @@
    * Changes the journal's address in the configuration to one where nothing listens, and sends
    * SIGHUP.
    */
-  void moveJournalToNowhere() throws IOException {
+  void moveJournalToClosedPort() throws IOException {
     int unused;
     try (ServerSocket socket = new ServerSocket(0)) {
       unused = socket.getLocalPort();
@@ -171,43 +171,45 @@
   // ---- checks ----
 
   /** Returns the violations found so far. */
-  List<String> judge() {
-    List<String> found = new ArrayList<>();
+  List<String> findViolations() {
+    List<String> violations = new ArrayList<>();
     for (Drain drain : drains) {
-      long told =
+      long notifiedNanos =
           Math.max(
-              drain.sinceNanos, outageBeganNanos + TimeUnit.SECONDS.toNanos(TOLD_AFTER_SECONDS));
+              drain.sinceNanos,
+              outageBeganNanos + TimeUnit.SECONDS.toNanos(NOTIFIED_AFTER_SECONDS));
       long late =
           drain.host.timedCommands.stream()
-              .filter(command -> command.isNewWork() && command.nanos() > told + GRACE_NANOS)
+              .filter(
+                  command -> command.isNewWork() && command.nanos() > notifiedNanos + GRACE_NANOS)
               .count();
       if (late > 0) {
-        found.add(
+        violations.add(
             late + " new-work commands sent to " + drain.host.name + " after its grace period");
       }
     }
-    double share = served.get() / (double) Math.max(1, asked.get());
-    if (share < MIN_SERVED) {
-      found.add("served only " + served + " of " + asked);
+    double servedShare = requestsServed.get() / (double) Math.max(1, requestsSent.get());
+    if (servedShare < MIN_SERVED_SHARE) {
+      violations.add("served only " + requestsServed + " of " + requestsSent);
     }
-    fixture.hosts.forEach(host -> judgeProbes(host, found));
-    if (!found.isEmpty()) {
-      found.add(
+    fixture.hosts.forEach(host -> checkProbeRate(host, violations));
+    if (!violations.isEmpty()) {
+      violations.add(
           "log " + process.log.subList(Math.max(0, process.log.size() - 12), process.log.size()));
     }
-    return found;
+    return violations;
   }
 
-  private static void judgeProbes(FakeHost host, List<String> found) {
+  private static void checkProbeRate(FakeHost host, List<String> violations) {
     Map<Long, Integer> perSecond = new TreeMap<>();
     for (TimedCommand command : host.timedCommands) {
       if (command.isProbe()) {
         perSecond.merge(TimeUnit.NANOSECONDS.toSeconds(command.nanos()), 1, Integer::sum);
       }
     }
-    int most = perSecond.values().stream().mapToInt(Integer::intValue).max().orElse(0);
-    if (most > MAX_PROBES_PER_SECOND) {
-      found.add(most + " probes within one second to " + host.name);
+    int highest = perSecond.values().stream().mapToInt(Integer::intValue).max().orElse(0);
+    if (highest > MAX_PROBES_PER_SECOND) {
+      violations.add(highest + " probes within one second to " + host.name);
     }
   }
 
--- a/src/test/java/flintlead/platform/PlatformHostTest.java
+++ b/src/test/java/flintlead/platform/PlatformHostTest.java
@@ -154,12 +154,12 @@
     int port = old.port();
     old.close();
     // Retries until the accepting thread has released the port.
-    FakeHost heir =
+    FakeHost successor =
         await()
             .ignoreException(java.net.BindException.class)
             .until(() -> fixture.anotherHost("s-heir", port), host -> true);
-    fixture.journal.add(true, second.endpoint("left"), heir.endpoint("active"));
-    await().until(() -> fixture.invoke(3, "x").status() == 200 && heir.invocations() > 0);
+    fixture.journal.add(true, second.endpoint("left"), successor.endpoint("active"));
+    await().until(() -> fixture.invoke(3, "x").status() == 200 && successor.invocations() > 0);
   }
 
   @ParameterizedTest
