--- a/src/main/java/flintlead/platform/HostFeedback.java
+++ b/src/main/java/flintlead/platform/HostFeedback.java
@@ -6,20 +6,20 @@
 import java.util.List;
 
 /**
- * Decodes what a host's response says of the instance that served it and of the host's load.
- * Without state.
+ * Decodes what a host's response reports about the instance that served the request and about the
+ * host's load. Stateless.
  */
 final class HostFeedback {
 
-  /** How the host found an instance, in the lower bits of a remark. */
-  private static final int NOT_TOLD = 0;
+  /** Values for how the host obtained an instance, in the lower bits of a remark. */
+  private static final int NOT_REPORTED = 0;
 
   private static final int INSTANCE_WAS_IDLE = 1;
   private static final int INSTANCE_WAS_STARTED = 2;
   private static final int WAITED_FOR_INSTANCE = 3;
   private static final int LOAD_FAILED = 4;
 
-  /** The requests ahead are in a remark's upper bits. */
+  /** The number of requests ahead is in the upper bits of a remark. */
   private static final int REQUESTS_AHEAD_FACTOR = 8;
 
   private static final int MAX_REQUESTS_AHEAD = 30;
@@ -34,29 +34,30 @@
   }
 
   /**
-   * The remark as the scheduler takes it: 1 to 3 how an instance was found, 4 a failed load, and
-   * eight times the number of requests that were ahead.
+   * Encodes the remark for the scheduler: 1 to 3 for how an instance was obtained, or 4 for a
+   * failed load, plus eight times the number of requests that were ahead.
    */
   int remark(Outcome outcome, ResponseFields fields) {
-    int found = found(fields.get("tell"));
+    int instanceSource = instanceSource(fields.get("tell"));
     return switch (outcome) {
       case OK, FULL ->
-          (found == LOAD_FAILED ? NOT_TOLD : found) + REQUESTS_AHEAD_FACTOR * requestsAhead(fields);
-      case ERROR, MISS -> found == LOAD_FAILED ? LOAD_FAILED : NOT_TOLD;
-      default -> NOT_TOLD;
+          (instanceSource == LOAD_FAILED ? NOT_REPORTED : instanceSource)
+              + REQUESTS_AHEAD_FACTOR * requestsAhead(fields);
+      case ERROR, MISS -> instanceSource == LOAD_FAILED ? LOAD_FAILED : NOT_REPORTED;
+      default -> NOT_REPORTED;
     };
   }
 
-  private static int found(String word) {
+  private static int instanceSource(String word) {
     if (word == null) {
-      return NOT_TOLD;
+      return NOT_REPORTED;
     }
     return switch (word) {
       case "hot" -> INSTANCE_WAS_IDLE;
       case "started" -> INSTANCE_WAS_STARTED;
       case "waited" -> WAITED_FOR_INSTANCE;
       case "broken" -> LOAD_FAILED;
-      default -> NOT_TOLD;
+      default -> NOT_REPORTED;
     };
   }
 
@@ -65,8 +66,8 @@
   }
 
   /**
-   * The host's load report, in the order of the deployment's names; empty where there is none, 0
-   * for a value that is missing or not finite.
+   * The values of the host's load report, in the order of the deployment's names. Empty if the
+   * response has no report; 0 for a value that is missing or not finite.
    */
   float[] loadReport(ResponseFields fields) {
     if (reportNames.isEmpty() || !fields.hasLoadReport()) {
--- a/src/main/java/flintlead/platform/journal/JournalClient.java
+++ b/src/main/java/flintlead/platform/journal/JournalClient.java
@@ -18,22 +18,22 @@
 import org.slf4j.Logger;
 
 /**
- * Watches the journal service: asks for what comes after the last event applied, and asks again,
- * after a backoff, when the connection breaks, stays silent, sends what is malformed or leaves an
- * event out. Tells the leases of the hosts since when the list is known to hold everything. Used on
- * the event loop only.
+ * Watches the journal service: requests the events after the last applied one. Reconnects after a
+ * backoff if the connection breaks or is silent, or if the service sends malformed data or omits an
+ * event. Tells the host leases up to what time the host list is known to be complete. Used on the
+ * event loop only.
  */
 public final class JournalClient {
 
   private static final int MAX_LINE = 1 << 20;
   private static final Span CONNECT_TIMEOUT = Span.ofMillis(500);
 
-  /** The service writes a line each second. */
+  /** The service writes a line each second; a longer silence than this is a failure. */
   private static final Span SILENCE_TIMEOUT = Span.ofMillis(1_600);
 
   /**
-   * The first backoff at most; doubled with each failure in a row. The platform allows 2 s until a
-   * new event is applied.
+   * Upper limit of the first backoff; doubled with each consecutive failure. The platform allows 2
+   * s until a new event is applied.
    */
   private static final Span FIRST_BACKOFF = Span.ofMillis(50);
 
@@ -55,10 +55,10 @@
   /**
    * Creates a client that is not connected.
    *
-   * @param events applies what the service sends
-   * @param leases of the hosts, which depend on how old the list is
-   * @param random spreads the backoff
-   * @param onFailure run each time that the service failed, before it is asked again
+   * @param events applies the events that the service sends
+   * @param leases leases of the hosts, which depend on how current the host list is
+   * @param random adds jitter to the backoff
+   * @param onFailure run after each failure of the service, before the next connection
    * @param log receives {@code journal_watch_failed} and {@code journal_watch_restored}
    */
   public JournalClient(
@@ -82,38 +82,38 @@
     this.failures = new WatchFailures(log);
   }
 
-  /** Begins to watch. */
+  /** Connects to the service. */
   public void start() {
     watch();
   }
 
-  /** The service is at this address from now on; the positions of events go on. */
+  /** Connects to another address of the service and continues after the last applied event. */
   public void moveTo(Address to) {
     if (!stopped && !to.equals(address)) {
       address = to;
       failures.reset();
       if (current != null) {
-        current.drop();
+        current.closeQuietly();
       }
       watch();
     }
   }
 
-  /** Watches no more, for good. */
+  /** Disconnects from the service permanently. */
   public void stop() {
     stopped = true;
     if (current != null) {
-      current.drop();
+      current.closeQuietly();
     }
   }
 
   private void watch() {
     current = new Watch();
     current.stream = transport.connect(address, current);
-    current.expectInputWithin(CONNECT_TIMEOUT);
+    current.restartTimeout(CONNECT_TIMEOUT);
   }
 
-  private void failed(Watch watch, String reason) {
+  private void retryAfterFailure(Watch watch, String reason) {
     int doublings = Math.min(failures.count(), MAX_DOUBLINGS);
     Span limit = Span.shorter(MAX_BACKOFF, FIRST_BACKOFF.times(1L << doublings));
     if (stopped) {
@@ -138,9 +138,14 @@
     private boolean closed;
     private HeartbeatAge heartbeats;
 
-    void expectInputWithin(Span timeout) {
+    void restartTimeout(Span timeout) {
       cancelTimeout.run();
-      cancelTimeout = loop.scheduleAfter(timeout, () -> fail("no data before the timeout"));
+      cancelTimeout =
+          loop.scheduleAfter(
+              timeout,
+              () ->
+                  fail(
+                      "journal service did not accept the connection or sent no line before the timeout"));
     }
 
     @Override
@@ -149,7 +154,7 @@
         heartbeats = new HeartbeatAge(loop.now());
         String command = "tail " + events.lastPosition() + "\n";
         stream.write(Unpooled.copiedBuffer(command, StandardCharsets.US_ASCII));
-        expectInputWithin(SILENCE_TIMEOUT);
+        restartTimeout(SILENCE_TIMEOUT);
       }
     }
 
@@ -167,17 +172,17 @@
       }
       try {
         if (!apply(json.read(ByteBufUtil.getBytes(line)))) {
-          fail("events after " + events.lastPosition() + " are missing");
+          fail("events after position " + events.lastPosition() + " were not received");
           return;
         }
         failures.succeeded(loop.now());
-        expectInputWithin(SILENCE_TIMEOUT);
+        restartTimeout(SILENCE_TIMEOUT);
       } catch (IllegalArgumentException e) {
         fail(e.getMessage());
       }
     }
 
-    /** Applies an event or a heartbeat; false where events are missing before it. */
+    /** Applies an event or a heartbeat; returns false if events before it are missing. */
     private boolean apply(Object message) {
       if (message instanceof Number position) {
         return heartbeat(position.longValue());
@@ -191,11 +196,12 @@
     }
 
     /**
-     * The position of the service's last event. Only where it is the last one applied too, the list
-     * holds everything: a service that is behind has not told all that another one told before.
+     * Handles a heartbeat, which holds the position of the service's last event. The host list is
+     * known to be complete only if this event is also the last applied one: a service that lags
+     * behind does not know all events that another instance of the service has sent.
      */
     private boolean heartbeat(long position) {
-      Moment writtenAt = heartbeats.earliestWriting(stream.earliestArrival());
+      Moment writtenAt = heartbeats.earliestWriteTime(stream.earliestArrival());
       if (position == events.lastPosition()) {
         leases.listConfirmed(writtenAt);
       }
@@ -204,7 +210,7 @@
 
     @Override
     public void lineTooLong(int maxBytes) {
-      fail("a line of over " + maxBytes + " bytes");
+      fail("journal line exceeds " + maxBytes + " bytes");
     }
 
     @Override
@@ -215,8 +221,8 @@
       fail(error);
     }
 
-    /** Closes the connection; nothing is logged and nothing follows. */
-    void drop() {
+    /** Closes the connection without logging or scheduling anything. */
+    void closeQuietly() {
       if (!closed) {
         closed = true;
         cancelTimeout.run();
@@ -227,8 +233,8 @@
 
     private void fail(String reason) {
       if (!closed) {
-        drop();
-        failed(this, reason);
+        closeQuietly();
+        retryAfterFailure(this, reason);
       }
     }
   }
--- a/src/main/java/flintlead/platform/upstream/ConnectionPool.java
+++ b/src/main/java/flintlead/platform/upstream/ConnectionPool.java
@@ -10,52 +10,52 @@
 import java.util.List;
 
 /**
- * The connections to one host and the requests that wait for one. Each request gets a connection of
- * its own as long as more may be opened, as a malformed response takes everything with it that is
- * in flight on its connection; beyond that many requests share one. Used on the event loop only.
+ * The connections to one host and the requests that wait for one. Each request gets its own
+ * connection while more may be opened, because a malformed response ends all requests in flight on
+ * its connection; beyond that, requests share connections. Used on the event loop only.
  */
 public final class ConnectionPool {
 
-  /** How long after a connection broke the host is given to show that it is alive. */
+  /** Time after a connection broke within which the host must show that it is alive. */
   private static final Span LIVENESS_TIMEOUT = Span.ofMillis(150);
 
-  /** Connections that may be reset while opening under a queued request, before it fails. */
+  /** Connections reset while opening after which a queued request fails; one refusal suffices. */
   private static final int MAX_CONNECT_FAILURES = 4;
 
-  private static final int MAX_QUEUED = 2_000;
+  private static final int MAX_QUEUED_REQUESTS = 2_000;
 
   /**
-   * When this side closes an idle connection, as a fraction of the host's own idle timeout: else a
-   * request would cross the host's close.
+   * Fraction of the host's idle timeout after which this gateway closes an idle connection. If the
+   * host closed it first, a request could be sent at the same moment and be lost.
    */
   private static final double IDLE_TIMEOUT_FRACTION = 0.6;
 
   /**
-   * When bytes in send buffers are discarded, as a fraction of the drain grace: they would arrive
-   * after it.
+   * Fraction of the drain grace period after which unsent bytes are discarded: bytes sent later
+   * could reach the host after the grace period.
    */
   private static final double DISCARD_FRACTION = 0.5;
 
-  private final ConnectionPools all;
+  private final ConnectionPools pools;
   private final String hostName;
   private final Address address;
   private final Moment startedAt;
   private final HostConnections connections = new HostConnections();
   private final Deque<Request> queue = new ArrayDeque<>();
   private final UnsettledRequests unsettled = new UnsettledRequests(this::endLater);
-  private final HostProofs proof;
-  private final ListedStatus listed = new ListedStatus();
+  private final HostLeaseRenewal renewal;
+  private final HostListStatus listStatus = new HostListStatus();
 
-  /** Whether what is queued waits until the sockets were looked at. */
-  private boolean awaitsPoll;
+  /** Whether the queued requests wait for the next poll of the sockets. */
+  private boolean waitsForPoll;
 
   ConnectionPool(
-      ConnectionPools all, long host, String hostName, Address address, Moment startedAt) {
-    this.all = all;
+      ConnectionPools pools, long host, String hostName, Address address, Moment startedAt) {
+    this.pools = pools;
     this.hostName = hostName;
     this.address = address;
     this.startedAt = startedAt;
-    this.proof = new HostProofs(this, host, all.guard());
+    this.renewal = new HostLeaseRenewal(this, host, pools.guard());
   }
 
   String hostName() {
@@ -70,49 +70,49 @@
     return startedAt;
   }
 
-  HostProofs proof() {
-    return proof;
+  HostLeaseRenewal leaseRenewal() {
+    return renewal;
   }
 
   boolean isActive() {
-    return listed.isActive();
+    return listStatus.isActive();
   }
 
   EventExecutor loop() {
-    return all.loop();
+    return pools.loop();
   }
 
   LinkLimits limits() {
-    return all.limits();
+    return pools.limits();
   }
 
   Moment now() {
-    return all.loop().now();
+    return pools.loop().now();
   }
 
   // ---- requests ----
 
-  /** Sends the request, or queues it; its outcome is never delivered within this call. */
+  /** Sends the request or queues it. The outcome is never delivered within this call. */
   public void run(Request request) {
     if (!isActive()) {
       endLater(request, Outcome.CONNECT_FAILED);
-    } else if (queue.size() + proof.waiting() >= MAX_QUEUED) {
+    } else if (queue.size() + renewal.waitingCount() >= MAX_QUEUED_REQUESTS) {
       endLater(request, Outcome.FULL);
-    } else if (request.isNewWork() && !proof.holds()) {
-      proof.await(request);
+    } else if (request.isNewWork() && !renewal.isLeaseValid()) {
+      renewal.awaitProbe(request);
     } else {
       queue.add(request);
       sendQueued();
     }
   }
 
-  /** Sends requests whose host has just been proven to take new work. */
-  void sendProven(List<Request> proven) {
-    queue.addAll(proven);
+  /** Sends requests that waited for a probe, after the probe has renewed the host's lease. */
+  void sendAfterProbe(List<Request> requests) {
+    queue.addAll(requests);
     sendQueued();
   }
 
-  /** Sends a command that has no response; dropped where no connection accepts it now. */
+  /** Sends a command that has no response; dropped if no connection accepts it now. */
   public void sendCommand(String line) {
     HostConnection connection = connections.anyAccepting();
     if (connection != null) {
@@ -121,16 +121,16 @@
   }
 
   /**
-   * Ends a request early; no outcome is delivered.
+   * Ends a request early, without delivering an outcome.
    *
-   * @return whether it is proven that nothing of it left; else the host is sent a cancellation
+   * @return whether certainly nothing of it was sent; if not, the host is sent a cancellation
    */
   public boolean withdraw(Request request) {
     request.withdrawn();
     unsettled.remove(request);
-    if (!request.mayHaveLeft()) {
+    if (!request.wasWritten()) {
       if (!queue.remove(request)) {
-        proof.remove(request);
+        renewal.remove(request);
       }
       return true;
     }
@@ -138,20 +138,17 @@
     return false;
   }
 
-  /**
-   * Ends the request as withdrawn if it is still queued; one that has left is not touched. The
-   * outcome is delivered later.
-   */
+  /** Ends the request as withdrawn if it is still queued; the outcome is delivered later. */
   public void withdrawIfQueued(Request request) {
-    if (queue.remove(request) || proof.remove(request)) {
+    if (queue.remove(request) || renewal.remove(request)) {
       endLater(request, Outcome.WITHDRAWN);
     }
   }
 
-  /** Delivers the outcome of a request that is nowhere any more, as an event of its own. */
+  /** Delivers the outcome of a request that is neither queued nor in flight, in another event. */
   void endLater(Request request, Outcome outcome) {
-    request.decided();
-    all.loop().scheduleAt(now(), () -> request.end(outcome, ResponseFields.NONE, null));
+    request.outcomeKnown();
+    pools.loop().scheduleAt(now(), () -> request.end(outcome, ResponseFields.NONE, null));
   }
 
   private void sendQueued() {
@@ -160,7 +157,7 @@
       HostConnection idle = connections.idleFor(request);
       if (idle == null && mayConnect()) {
         if (connections.connecting() >= queue.size()) {
-          // As many as wait are being opened: it goes on whichever is open first.
+          // Enough connections are opening for all queued requests; the first to open takes this.
           return;
         }
         if (connect()) {
@@ -175,7 +172,7 @@
         if (!sendIfAllowed(request, connection)) {
           return;
         }
-      } else if (hasNoProspect()) {
+      } else if (isDisconnected()) {
         queue.poll();
         endLater(request, Outcome.CONNECT_FAILED);
       } else {
@@ -185,61 +182,62 @@
   }
 
   /**
-   * Sends the request, or ends it where it must never leave; false where it waits until the sockets
-   * were looked at, and all behind it too.
+   * Sends the request, or ends it if it must never be sent. Returns false if it has to wait until
+   * the sockets were polled; the requests queued behind it wait too.
    */
   private boolean sendIfAllowed(Request request, HostConnection connection) {
     queue.poll();
-    switch (connection.send(request, all.loop().polls())) {
+    switch (connection.send(request, pools.loop().polls())) {
       case SEND -> {
-        // Its response, or the end of its connection, comes later.
+        // The response, or the end of the connection, is handled when it arrives.
       }
       case LOOK_FIRST -> {
         queue.addFirst(request);
         sendAfterNextPoll();
         return false;
       }
-      case PROVE_FIRST, UNPROVEN -> proof.await(request);
+      case PROVE_FIRST, UNPROVEN -> renewal.awaitProbe(request);
       default -> endLater(request, Outcome.WITHDRAWN);
     }
     return true;
   }
 
   private void sendAfterNextPoll() {
-    if (!awaitsPoll) {
-      awaitsPoll = true;
-      all.sendDeferred();
-      all.loop()
+    if (!waitsForPoll) {
+      waitsForPoll = true;
+      pools.countDeferredSend();
+      pools
+          .loop()
           .polls()
           .afterNextPoll(
               () -> {
-                awaitsPoll = false;
+                waitsForPoll = false;
                 sendQueued();
               });
     }
   }
 
-  /** Neither a connection nor a way to open one: a request may go elsewhere at once. */
-  private boolean hasNoProspect() {
+  /** Whether no connection is left and no liveness check runs: queued requests fail at once. */
+  private boolean isDisconnected() {
     return connections.isEmpty() && unsettled.isEmpty();
   }
 
   // ---- opening connections ----
 
   private boolean mayConnect() {
-    return isActive() && connections.size() < all.maxPerHost();
+    return isActive() && connections.size() < pools.maxConnectionsPerHost();
   }
 
-  /** Begins to open a connection; false where the bounds on all connections do not allow it. */
+  /** Begins to open a connection; returns false if the limits of all pools do not allow it. */
   private boolean connect() {
-    if (!all.mayOpen(this)) {
+    if (!pools.tryAcquireConnection(this)) {
       return false;
     }
     HostConnection connection = new HostConnection(this);
     connections.add(connection);
-    all.connectionAdded();
-    connection.attach(all.transport().connect(address, connection));
-    all.loop().scheduleAfter(limits().connectTimeout(), connection::connectTimedOut);
+    pools.connectionAdded();
+    connection.attach(pools.transport().connect(address, connection));
+    pools.loop().scheduleAfter(limits().connectTimeout(), connection::connectTimedOut);
     return true;
   }
 
@@ -254,73 +252,74 @@
     }
   }
 
-  /** Bytes came from the host. */
+  /** Called when bytes have arrived from the host. */
   void received() {
     unsettled.hostIsAlive();
     sendQueued();
   }
 
-  /** A connection's send buffer is empty again. */
+  /** Called when a connection's send buffer has become empty. */
   void sendBufferDrained() {
     sendQueued();
   }
 
   void logMalformedResponse(String reason) {
-    all.logMalformedResponse(hostName, reason);
+    pools.logMalformedResponse(hostName, reason);
   }
 
   void closed(HostConnection connection, List<Request> unanswered, CloseReason reason) {
     connections.remove(connection);
-    all.connectionRemoved();
+    pools.connectionRemoved();
     switch (reason) {
       case MALFORMED_RESPONSE ->
           unanswered.forEach(request -> endLater(request, Outcome.CONNECTION_LOST));
       case BROKEN -> {
         checkLiveness(unanswered);
         if (!connections.hasOpen()) {
-          proof.lastConnectionBroke();
+          renewal.lastConnectionBroke();
         }
       }
       case RESET_WHILE_CONNECTING -> {
-        // Only a listening host can reset a connection that it has accepted.
+        // The host is alive: only a process that has accepted a connection can reset it.
         unsettled.hostIsAlive();
         connectFailed(1);
       }
       case LOCAL_EXHAUSTION -> {
-        // It says nothing of the host.
-        all.descriptorsExhausted();
+        // A local failure, which proves nothing about the host.
+        pools.descriptorsExhausted();
         connectFailed(1);
       }
       case CONNECT_FAILED -> {
-        proof.unreachable();
+        renewal.unreachable();
         unsettled.hostIsDead();
         connectFailed(MAX_CONNECT_FAILURES);
       }
       default -> {
-        // Closed by this gateway, with nothing in flight.
+        // This gateway closed the connection; no request was in flight on it.
       }
     }
     if (reason == CloseReason.CLOSED_LOCALLY) {
-      // Closed by the bounds or after a withdrawal: a queued request may need another connection.
-      all.loop().scheduleAt(now(), this::sendQueued);
+      // Closed at the connection limit or after a withdrawal: queued requests may need another.
+      pools.loop().scheduleAt(now(), this::sendQueued);
     } else {
       sendQueued();
     }
   }
 
-  /** Opens a connection, if none is being opened, to see whether the host is alive. */
+  /** Opens a connection, if none is being opened, to find out whether the host is alive. */
   private void checkLiveness(List<Request> unanswered) {
     if (unanswered.isEmpty()) {
       return;
     }
     unsettled.addAll(unanswered);
     boolean connecting = connections.connecting() > 0 || mayConnect() && connect();
-    all.loop()
+    pools
+        .loop()
         .scheduleAfter(
             connecting ? LIVENESS_TIMEOUT : Span.ZERO, () -> unsettled.hostIsDead(unanswered));
   }
 
-  /** Ends the queued requests that have seen too many connections fail, unless another is open. */
+  /** Ends queued requests with too many connect failures, unless another connection is open. */
   private void connectFailed(int failures) {
     boolean othersOpen = connections.hasOpen();
     for (Request request : List.copyOf(queue)) {
@@ -331,69 +330,69 @@
     }
   }
 
-  // ---- events of the endpoint list ----
+  // ---- events of the host list ----
 
-  /** Sends nothing new from now on and ends what is queued; what is in flight may end. */
+  /** Sends no new requests from now on and ends the queued ones. Requests in flight may finish. */
   void drain() {
-    if (listed.drain()) {
+    if (listStatus.drain()) {
       beginDraining();
     }
   }
 
-  /** The host takes part again, under the same name. */
+  /** Called when the host list reports the host as active; ends a drain. */
   void activate() {
-    listed.activate();
+    listStatus.activate();
   }
 
-  /** The host is not listed any more: drains for good. */
+  /** Called when the host was removed from the host list: drains permanently. */
   void remove() {
-    if (listed.remove()) {
+    if (listStatus.remove()) {
       beginDraining();
     }
   }
 
   private void beginDraining() {
-    int thisDrain = listed.drainNumber();
-    queue.addAll(proof.takeWaiting());
+    int drainNumber = listStatus.drainNumber();
+    queue.addAll(renewal.removeWaiting());
     List<Request> queued = List.copyOf(queue);
     queue.clear();
     queued.forEach(request -> endLater(request, Outcome.CONNECT_FAILED));
     connections.copy().forEach(HostConnection::drain);
-    loop().scheduleAfter(limits().drainGrace().times(DISCARD_FRACTION), () -> discard(thisDrain));
+    loop().scheduleAfter(limits().drainGrace().times(DISCARD_FRACTION), () -> discard(drainNumber));
   }
 
-  private void discard(int ofDrain) {
-    if (listed.isInDrain(ofDrain)) {
+  private void discard(int drainNumber) {
+    if (listStatus.isInDrain(drainNumber)) {
       connections.discardUnsentBytes();
     }
   }
 
-  // ---- upkeep ----
+  // ---- maintenance ----
 
-  /** Whether nothing is left of it. */
+  /** Whether no connection, request or probe is left. */
   boolean isEmpty() {
-    return connections.isEmpty() && queue.isEmpty() && unsettled.isEmpty() && proof.isEmpty();
+    return connections.isEmpty() && queue.isEmpty() && unsettled.isEmpty() && renewal.isEmpty();
   }
 
   /**
-   * Looks after its connections. Called regularly, as it also sends queued requests: that another
-   * pool's connection made room is an event of no connection here.
+   * Maintains the connections; called regularly. Also sends queued requests: if a connection of
+   * another pool has closed and made room for one here, no event of this pool reports it.
    */
   void maintain(Moment now) {
     sendQueued();
-    if (!proof.holds()) {
-      // What has not left yet would arrive after the host's lease has ended.
+    if (!renewal.isLeaseValid()) {
+      // Bytes that are still unsent would reach the host after its lease has ended.
       connections.discardUnsentBytes();
     }
     connections.maintain(now, limits().hostIdleTimeout().times(IDLE_TIMEOUT_FRACTION));
   }
 
-  /** Closes connections that have nothing in flight. */
+  /** Closes connections that have no request in flight. */
   public void closeIdle() {
     connections.closeIdle();
   }
 
-  /** The connection that has been idle for longest; null where none is idle. */
+  /** The connection that has been idle the longest; null if none is idle. */
   HostConnection longestIdle() {
     return connections.longestIdle();
   }
--- a/src/main/java/flintlead/platform/upstream/HostResponseParser.java
+++ b/src/main/java/flintlead/platform/upstream/HostResponseParser.java
@@ -5,53 +5,54 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Parses what a host writes into responses: {@code TAG STATUS FIELDS LENGTH}, CR LF, so many bytes,
- * CR LF. Whatever is malformed ends the parser: after a wrong length nothing that follows can be
- * told from a body, and would be taken for another request's response.
+ * Parses the bytes from a host into responses. A response is a line {@code TAG STATUS FIELDS
+ * LENGTH}, CR LF, a body of LENGTH bytes, and CR LF. Malformed input ends the parser: after a wrong
+ * length the parser cannot tell where the next response begins, and might take part of a body for
+ * the response to another request.
  */
 public final class HostResponseParser {
 
-  private static final int MAX_LINE = 1_024;
-  private static final int MAX_TAG = 64;
+  private static final int MAX_LINE_BYTES = 1_024;
+  private static final int MAX_TAG_LENGTH = 64;
   private static final int MAX_LENGTH_DIGITS = 7;
-  private static final int WORDS = 4;
-  private static final int MIN_BUFFER = 256;
+  private static final int LINE_PARTS = 4;
+  private static final int MIN_BUFFER_BYTES = 256;
 
-  /** What is parsed. */
+  /** Receives the parsed responses. */
   public interface Listener {
 
-    /** A complete response; the body is valid only until this returns. */
+    /** A complete response was parsed. The body is valid only until this method returns. */
     void response(String tag, String status, ResponseFields fields, ByteBuf body);
 
-    /** The input is malformed; nothing more is parsed. */
+    /** The input is malformed; no more of it is parsed. */
     void malformed(String reason);
   }
 
   /** The first line of a response. */
-  private record Head(String tag, String status, String fields, int bodyLength) {}
+  private record FirstLine(String tag, String status, String fields, int bodyLength) {}
 
-  private final int maxBody;
-  private final Listener sink;
+  private final int maxBodyBytes;
+  private final Listener listener;
 
-  /** Bytes of a response that is incomplete. */
+  /** Bytes of an incomplete response. */
   private ByteBuf partial = Unpooled.EMPTY_BUFFER;
 
   private boolean ended;
 
-  /** The first line of a response whose body is still to come; null where none is. */
-  private Head head;
+  /** The first line of a response whose body is incomplete; null if there is no such response. */
+  private FirstLine firstLine;
 
   /**
-   * Creates a parser at the beginning of a response.
+   * Creates a parser that expects the beginning of a response.
    *
-   * @param maxBody bytes of a body at most
+   * @param maxBodyBytes maximum bytes of a body
    */
-  public HostResponseParser(int maxBody, Listener sink) {
-    this.maxBody = maxBody;
-    this.sink = sink;
+  public HostResponseParser(int maxBodyBytes, Listener listener) {
+    this.maxBodyBytes = maxBodyBytes;
+    this.listener = listener;
   }
 
-  /** Parses the bytes; the buffer stays the caller's. */
+  /** Parses the bytes. The caller keeps ownership of the buffer. */
   public void feed(ByteBuf bytes) {
     if (ended) {
       return;
@@ -70,66 +71,69 @@
     } else if (input == partial) {
       partial.discardReadBytes();
     } else {
-      partial = Unpooled.buffer(Math.max(MIN_BUFFER, input.readableBytes())).writeBytes(input);
+      partial =
+          Unpooled.buffer(Math.max(MIN_BUFFER_BYTES, input.readableBytes())).writeBytes(input);
     }
   }
 
-  /** Whether a response has begun that is incomplete. */
+  /** Whether an incomplete response has been received. */
   public boolean hasPartialResponse() {
-    return !ended && (head != null || partial.isReadable());
+    return !ended && (firstLine != null || partial.isReadable());
   }
 
-  /** Parses nothing any more. */
+  /** Stops parsing; further input is ignored. */
   public void end() {
     ended = true;
   }
 
-  /** Parses one response; false where it is incomplete or is malformed. */
+  /** Parses one response; returns false if it is incomplete or malformed. */
   private boolean parseResponse(ByteBuf in) {
-    if (head == null && !parseLine(in) || in.readableBytes() < head.bodyLength + 2) {
+    if (firstLine == null && !parseLine(in) || in.readableBytes() < firstLine.bodyLength + 2) {
       return false;
     }
-    int end = in.readerIndex() + head.bodyLength;
+    int end = in.readerIndex() + firstLine.bodyLength;
     if (in.getByte(end) != '\r' || in.getByte(end + 1) != '\n') {
-      return fail("a length that does not fit");
+      return fail("response body is not followed by CR LF");
     }
-    ByteBuf body = in.slice(in.readerIndex(), head.bodyLength);
-    Head response = head;
-    head = null;
+    ByteBuf body = in.slice(in.readerIndex(), firstLine.bodyLength);
+    FirstLine response = firstLine;
+    firstLine = null;
     in.readerIndex(end + 2);
-    sink.response(response.tag, response.status, new ResponseFields(response.fields), body);
+    listener.response(response.tag, response.status, new ResponseFields(response.fields), body);
     return true;
   }
 
   private boolean parseLine(ByteBuf in) {
     int start = in.readerIndex();
-    int end = in.indexOf(start, Math.min(in.writerIndex(), start + MAX_LINE), (byte) '\n');
+    int end = in.indexOf(start, Math.min(in.writerIndex(), start + MAX_LINE_BYTES), (byte) '\n');
     if (end < 0) {
-      return in.readableBytes() < MAX_LINE ? false : fail("a line that does not end");
+      return in.readableBytes() < MAX_LINE_BYTES
+          ? false
+          : fail("first line of a response exceeds " + MAX_LINE_BYTES + " bytes");
     }
     if (end == start || in.getByte(end - 1) != '\r') {
-      return fail("a line without CR LF");
+      return fail("first line of a response ends in LF without CR");
     }
-    head = parseHead(in.toString(start, end - 1 - start, StandardCharsets.ISO_8859_1));
-    if (head == null) {
-      return fail("a line that is no response");
+    firstLine = parseFirstLine(in.toString(start, end - 1 - start, StandardCharsets.ISO_8859_1));
+    if (firstLine == null) {
+      return fail("first line of a response is not TAG STATUS FIELDS LENGTH, or exceeds a limit");
     }
     in.readerIndex(end + 1);
     return true;
   }
 
-  /** The first line of a response; null where it is malformed. */
-  private Head parseHead(String line) {
-    String[] words = line.split(" ", WORDS + 1);
-    if (words.length != WORDS
-        || !isTag(words[0])
-        || !isTag(words[1])
-        || !isPrintable(words[2])
-        || !isLength(words[3])) {
+  /** Parses the first line of a response; returns null if it is malformed. */
+  private FirstLine parseFirstLine(String line) {
+    String[] parts = line.split(" ", LINE_PARTS + 1);
+    if (parts.length != LINE_PARTS
+        || !isTag(parts[0])
+        || !isTag(parts[1])
+        || !isPrintable(parts[2])
+        || !isLength(parts[3])) {
       return null;
     }
-    int length = Integer.parseInt(words[3]);
-    return length <= maxBody ? new Head(words[0], words[1], words[2], length) : null;
+    int length = Integer.parseInt(parts[3]);
+    return length <= maxBodyBytes ? new FirstLine(parts[0], parts[1], parts[2], length) : null;
   }
 
   private static boolean isTag(String word) {
@@ -139,7 +143,7 @@
         return false;
       }
     }
-    return !word.isEmpty() && word.length() <= MAX_TAG;
+    return !word.isEmpty() && word.length() <= MAX_TAG_LENGTH;
   }
 
   private static boolean isPrintable(String word) {
@@ -166,7 +170,7 @@
 
   private boolean fail(String reason) {
     end();
-    sink.malformed(reason);
+    listener.malformed(reason);
     return false;
   }
 }
--- a/src/main/java/flintlead/platform/upstream/ResponseFields.java
+++ b/src/main/java/flintlead/platform/upstream/ResponseFields.java
@@ -1,14 +1,15 @@
 package flintlead.platform.upstream;
 
 /**
- * The fields of a host's response: {@code name=value,name=value}, or {@code -} for none. Immutable.
+ * The fields of a host's response: {@code name=value,name=value}, or {@code -} if there are none.
+ * Immutable.
  */
 public final class ResponseFields {
 
   /** No fields. */
   public static final ResponseFields NONE = new ResponseFields("-");
 
-  private static final String LOAD_REPORT = "meter";
+  private static final String LOAD_REPORT_FIELD = "meter";
   private static final int MAX_LOAD_REPORT_PARTS = 16;
   private static final int MAX_DIGITS = 9;
 
@@ -18,7 +19,7 @@
     this.text = text;
   }
 
-  /** The value of the first field of that name; null where there is none. */
+  /** The value of the first field with this name; null if there is none. */
   public String get(String name) {
     int from = 0;
     while (from < text.length()) {
@@ -33,31 +34,34 @@
     return null;
   }
 
-  /** An integer of at most nine digits; the other value where there is none. */
-  public int number(String name, int otherwise) {
+  /**
+   * The value of a field as an integer of at most nine digits; {@code defaultValue} if there is no
+   * such value.
+   */
+  public int number(String name, int defaultValue) {
     String value = get(name);
     if (value == null || value.isEmpty() || value.length() > MAX_DIGITS) {
-      return otherwise;
+      return defaultValue;
     }
     for (int i = 0; i < value.length(); i++) {
       if (value.charAt(i) < '0' || value.charAt(i) > '9') {
-        return otherwise;
+        return defaultValue;
       }
     }
     return Integer.parseInt(value);
   }
 
-  /** Whether the response carries a load report. */
+  /** Whether the response contains a load report. */
   public boolean hasLoadReport() {
-    return get(LOAD_REPORT) != null;
+    return get(LOAD_REPORT_FIELD) != null;
   }
 
   /**
-   * The value of that name in the load report, as in {@code meter=inflight:7;util:0.61}; NaN where
-   * there is none.
+   * The value with this name in the load report, for example in {@code meter=inflight:7;util:0.61};
+   * NaN if there is none.
    */
   public float loadReportValue(String name) {
-    String report = get(LOAD_REPORT);
+    String report = get(LOAD_REPORT_FIELD);
     if (report == null) {
       return Float.NaN;
     }
--- a/src/test/java/flintlead/platform/FakeJournal.java
+++ b/src/test/java/flintlead/platform/FakeJournal.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * A journal service: sends whoever asks what comes after the position asked for, and each second
- * the last position. It can be out of reach in several ways.
+ * A journal service: sends each client the events after the position that the client requests, and
+ * the last position each second. Can simulate several kinds of outages.
  */
 final class FakeJournal implements AutoCloseable {
 
@@ -22,24 +22,24 @@
   private static final long HEARTBEAT_MILLIS = 1_000;
   private static final long TICK_MILLIS = 10;
 
-  /** How late lines are while the journal is slow. */
+  /** Delay of each line during a {@link Outage#SLOW} outage. */
   private static final long SLOW_MILLIS = 8_000;
 
-  /** In what way the journal is out of reach. */
+  /** The kinds of outages. */
   enum Outage {
-    /** It answers. */
+    /** The journal works. */
     NONE,
-    /** Connections end, and new ones are refused. */
+    /** Connections are closed, and new ones are refused. */
     REFUSED,
-    /** Connections are reset, new ones too. */
+    /** Connections are reset, including new ones. */
     RESET,
-    /** Connections stay open and carry nothing. */
+    /** Connections stay open, but nothing is sent. */
     SILENT,
-    /** The last position goes on, the events before it do not come. */
+    /** The last position is still sent, but the events before it are not. */
     BEHIND,
-    /** A line breaks off in the middle, and nothing follows. */
+    /** A line is cut off in the middle, and nothing follows. */
     HALF_LINE,
-    /** Every line comes late. */
+    /** Each line is sent late. */
     SLOW
   }
 
@@ -63,7 +63,7 @@
     this.events.addAll(events);
     listen(port);
     this.port = server.getLocalPort();
-    TestIo.inBackground(this::beat);
+    TestIo.inBackground(this::sendHeartbeats);
   }
 
   private void listen(int at) throws IOException {
@@ -94,8 +94,8 @@
     }
   }
 
-  /** Writes the last position each second, and what was delayed when it is due. */
-  private void beat() {
+  /** Writes the last position each second, and delayed lines when they are due. */
+  private void sendHeartbeats() {
     long next = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(HEARTBEAT_MILLIS);
     while (!closed) {
       LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(TICK_MILLIS));
@@ -103,7 +103,7 @@
       next += due ? TimeUnit.MILLISECONDS.toNanos(HEARTBEAT_MILLIS) : 0;
       synchronized (events) {
         for (Watch watch : watches) {
-          if (due && watch.hears()) {
+          if (due && watch.sendsHeartbeats()) {
             watch.write("{\"pos\":" + events.size() + "}\n");
           }
           watch.writeDue();
@@ -114,11 +114,11 @@
 
   // ---- outages ----
 
-  /** Is out of reach from now on. */
-  void beginOutage(Outage way) throws IOException {
+  /** Begins an outage, which lasts until {@link #endOutage}. */
+  void beginOutage(Outage kind) throws IOException {
     synchronized (events) {
-      outage = way;
-      switch (way) {
+      outage = kind;
+      switch (kind) {
         case REFUSED -> {
           server.close();
           breakConnections();
@@ -130,13 +130,13 @@
         }
         case HALF_LINE -> sendAll("{\"po");
         default -> {
-          // What it does not say is seen by whoever waits for it.
+          // Lines are withheld or delayed when they would be written.
         }
       }
     }
   }
 
-  /** Answers again; what was held back or asked for meanwhile is sent. */
+  /** Ends the outage, and sends the events that were withheld or requested during it. */
   void endOutage() throws IOException {
     synchronized (events) {
       Outage before = outage;
@@ -173,7 +173,10 @@
         + "]}}";
   }
 
-  /** Adds a change, and sends it at once or keeps it for whoever asks. */
+  /**
+   * Adds an event. Sends it to the connected clients, or withholds it from them until they
+   * reconnect.
+   */
   void add(boolean send, String... endpoints) throws IOException {
     synchronized (events) {
       events.add(event(events.size() + 1, false, endpoints));
@@ -181,7 +184,7 @@
         if (send) {
           watch.sendEvents();
         } else {
-          watch.holdBack();
+          watch.withholdEvents();
         }
       }
     }
@@ -220,12 +223,12 @@
     breakConnections();
   }
 
-  /** One gateway's connection. */
+  /** The connection of one gateway. */
   private final class Watch {
     private final Socket socket;
     private final List<Line> delayed = new ArrayList<>();
     private int sent;
-    private boolean heldBack;
+    private boolean withholding;
 
     Watch(Socket socket, int sent) {
       this.socket = socket;
@@ -233,15 +236,15 @@
     }
 
     /**
-     * Whether the last position is written: after an event that was held back it would be a gap.
+     * Whether the last position is written. After an event that was withheld it would reveal a gap.
      */
-    boolean hears() {
+    boolean sendsHeartbeats() {
       boolean silent = outage == Outage.SILENT || outage == Outage.HALF_LINE;
-      return !silent && !heldBack && !socket.isClosed();
+      return !silent && !withholding && !socket.isClosed();
     }
 
-    void holdBack() {
-      heldBack = true;
+    void withholdEvents() {
+      withholding = true;
     }
 
     void sendEvents() {
--- a/src/test/java/flintlead/platform/HostListRaceTest.java
+++ b/src/test/java/flintlead/platform/HostListRaceTest.java
@@ -31,11 +31,11 @@
   }
 
   /**
-   * Regression: where SIGHUP was lost or ignored, the old journal stayed the only one that was
-   * asked.
+   * Regression: if SIGHUP was lost or ignored, the gateway went on connecting only to the old
+   * journal.
    */
   @Test
-  void aJournalFailureReadsAChangedConfigurationAgain() throws Exception {
+  void aJournalFailureRereadsAChangedConfiguration() throws Exception {
     fixture = new PlatformFixture(1, 256).start();
     await().until(() -> fixture.journal.asked.size() == 1);
     FakeJournal other = fixture.anotherJournal();
@@ -48,51 +48,51 @@
   }
 
   /**
-   * Regression: a process restarted under the same name and address got requests on the connections
-   * of the one before.
+   * Regression: a process that was restarted under the same name and address was sent requests on
+   * the connections of its predecessor.
    */
   @Test
   void aRestartedHostGetsNewConnectionsAndARepeatedEntryKeepsThem() throws Exception {
     fixture = new PlatformFixture(1, 256).start();
     FakeHost host = fixture.hosts.get(0);
-    List<Socket> by = new CopyOnWriteArrayList<>();
+    List<Socket> servedBy = new CopyOnWriteArrayList<>();
     host.script =
         (each, from, words, body) -> {
-          by.add(from);
+          servedBy.add(from);
           each.answer(from, words[1] + " 200 - ", body);
         };
     assertEquals(200, fixture.invoke(1, "x").status());
-    // Long enough ago to be warm.
+    // Long enough ago for the host to count as warm.
     long started = System.currentTimeMillis() - 60_000;
     fixture.journal.add(true, host.endpoint("active", started));
     await()
         .until(
             () ->
                 fixture.invoke(System.nanoTime() & 0xffffff, "x").status() == 200
-                    && by.get(by.size() - 1) != by.get(0));
-    Socket second = by.get(by.size() - 1);
-    assertNotSame(by.get(0), second);
+                    && servedBy.get(servedBy.size() - 1) != servedBy.get(0));
+    Socket second = servedBy.get(servedBy.size() - 1);
+    assertNotSame(servedBy.get(0), second);
     FakeHost marker = fixture.anotherHost("s-marker", 0);
     fixture.journal.add(true, host.endpoint("active", started), marker.endpoint("active"));
     await()
         .until(
             () -> {
-              String function = String.format("%04x", by.size() + marker.invocations());
+              String function = String.format("%04x", servedBy.size() + marker.invocations());
               return statusOf(function) == 200 && marker.invocations() > 0;
             });
-    int before = by.size();
+    int before = servedBy.size();
     await()
         .until(
             () -> {
               fixture.invoke(System.nanoTime() & 0xffffff, "x");
-              return by.size() > before;
+              return servedBy.size() > before;
             });
-    assertSame(second, by.get(by.size() - 1));
+    assertSame(second, servedBy.get(servedBy.size() - 1));
   }
 
   /**
-   * Regression: the system's clock may be set and is read in milliseconds, and a repeated start
-   * time became a later one.
+   * Regression: a repeated start time became a later moment, because the system clock may be set
+   * and is read in milliseconds.
    */
   @Test
   void aRepeatedStartTimeIsTheSameMoment() {
@@ -115,7 +115,7 @@
         recorder.received().stream().map(each -> each.entry().startedAt().micros()).toList());
   }
 
-  /** The events known at the start may begin with a snapshot at any position. */
+  /** The events in the configuration may begin with a snapshot at any position. */
   @Test
   void theKnownEventsMayBeginAtAnyPosition() throws Exception {
     fixture =
@@ -128,7 +128,7 @@
     await().until(() -> fixture.journal.asked.contains("tail 9"));
   }
 
-  /** The status of an invocation of another function, named by its last four digits. */
+  /** Invokes another function, given by the last four digits of its ID, and returns the status. */
   private int statusOf(String function) throws IOException {
     String request = PlatformFixture.call(System.nanoTime() & 0xffffff, "x");
     return fixture
--- a/src/test/java/flintlead/platform/OutageRig.java
+++ b/src/test/java/flintlead/platform/OutageRig.java
@@ -13,13 +13,16 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * One gateway process with hosts, a journal that can be out of reach, and clients that send both
- * kinds of invocations. Records what hosts received and clients were answered, and judges it.
+ * One gateway process with hosts, a journal with simulated outages, and clients that send
+ * invocations with and without an idempotency key. Records what the hosts received and how the
+ * clients were answered, and checks both.
  */
 final class OutageRig implements AutoCloseable {
 
-  /** What the journal would have told counts as told this long after its outage began. */
-  static final long TOLD_AFTER_SECONDS = 4;
+  /**
+   * Time after the beginning of an outage from which the gateway counts as notified of all changes.
+   */
+  static final long NOTIFIED_AFTER_SECONDS = 4;
 
   private static final int DESCRIPTORS = 512;
   private static final int HOSTS = 8;
@@ -27,15 +30,23 @@
   private static final int CLIENT_PAUSE_MILLIS = 25;
   private static final int FUNCTIONS = 24;
 
-  /** Requests after which a function is no longer asked for, and a new one is. */
+  /**
+   * Number of requests after which one function is no longer invoked and a new one takes its place.
+   */
   private static final int REQUESTS_PER_NEW_FUNCTION = 32;
 
-  /** The grace after a drain was told, with the slack of the sockets' page. */
+  /**
+   * The grace period after the gateway counts as notified of a drain, plus the tolerance that the
+   * platform allows for sockets.
+   */
   private static final long GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_050);
 
-  private static final double MIN_SERVED = 0.95;
+  private static final double MIN_SERVED_SHARE = 0.95;
 
-  /** A host takes so many probes a second, whoever sends them; a gateway needs far fewer. */
+  /**
+   * Maximum probes per second that one host accepts from all gateways together. One gateway needs
+   * far fewer.
+   */
   private static final int MAX_PROBES_PER_SECOND = 4;
 
   private record Drain(FakeHost host, long sinceNanos) {}
@@ -43,12 +54,12 @@
   private final PlatformFixture fixture;
   private final Path folder;
   private final List<Drain> drains = new ArrayList<>();
-  private final AtomicInteger served = new AtomicInteger();
-  private final AtomicInteger asked = new AtomicInteger();
+  private final AtomicInteger requestsServed = new AtomicInteger();
+  private final AtomicInteger requestsSent = new AtomicInteger();
   private final List<Thread> clients = new ArrayList<>();
   private PlatformProcess process;
   private long outageBeganNanos;
-  private volatile boolean traffic;
+  private volatile boolean clientsRunning;
 
   OutageRig(Path folder) throws IOException {
     this.folder = folder;
@@ -67,7 +78,7 @@
   // ---- clients ----
 
   void startClients() {
-    traffic = true;
+    clientsRunning = true;
     for (int i = 0; i < CLIENTS; i++) {
       int client = i;
       Thread thread = new Thread(() -> runClient(client), "outage-client-" + i);
@@ -78,20 +89,20 @@
 
   private void runClient(int client) {
     try (TestClient connection = fixture.client()) {
-      for (long number = 1; traffic; number++) {
+      for (long number = 1; clientsRunning; number++) {
         long id = number * CLIENTS + client;
-        asked.incrementAndGet();
+        requestsSent.incrementAndGet();
         if (connection.send(request(id)).response().status() == 200) {
-          served.incrementAndGet();
+          requestsServed.incrementAndGet();
         }
         Thread.sleep(CLIENT_PAUSE_MILLIS);
       }
     } catch (IOException | InterruptedException e) {
-      // What was asked and not served counts.
+      // Requests without an answer count as not served.
     }
   }
 
-  /** Each second one may be repeated freely, the others carry an idempotency key. */
+  /** Every second request of a client is idempotent; the others carry an idempotency key. */
   private static String request(long id) {
     String headers =
         id / CLIENTS % 2 == 0
@@ -99,13 +110,13 @@
             : "X-Class: lodge\r\nX-Ttl-Ms: 1360\r\nX-Txn-Key: "
                 + String.format("%032x", id)
                 + "\r\n";
-    long retired = id / REQUESTS_PER_NEW_FUNCTION;
-    String function = String.format("%016x", 0x1000 + retired + id % FUNCTIONS);
+    long retiredFunctions = id / REQUESTS_PER_NEW_FUNCTION;
+    String function = String.format("%016x", 0x1000 + retiredFunctions + id % FUNCTIONS);
     return PlatformFixture.call(id, headers, "x").replace("00000000000000aa", function);
   }
 
   void stopClients() throws InterruptedException {
-    traffic = false;
+    clientsRunning = false;
     for (Thread client : clients) {
       client.join();
     }
@@ -113,19 +124,22 @@
 
   // ---- faults ----
 
-  void beginOutage(Outage way) throws IOException {
+  void beginOutage(Outage outage) throws IOException {
     outageBeganNanos = System.nanoTime();
-    asked.set(0);
-    served.set(0);
-    fixture.journal.beginOutage(way);
+    requestsSent.set(0);
+    requestsServed.set(0);
+    fixture.journal.beginOutage(outage);
   }
 
   void endOutage() throws IOException {
     fixture.journal.endOutage();
   }
 
-  /** The configuration names an address where nobody listens, and SIGHUP says so. */
-  void moveJournalToNowhere() throws IOException {
+  /**
+   * Changes the journal's address in the configuration to one where nothing listens, and sends
+   * SIGHUP.
+   */
+  void moveJournalToClosedPort() throws IOException {
     int unused;
     try (ServerSocket socket = new ServerSocket(0)) {
       unused = socket.getLocalPort();
@@ -134,7 +148,7 @@
     process.signal("HUP");
   }
 
-  /** The hosts drain: they stay up, and the journal has it whether it is reached or not. */
+  /** Makes hosts drain: they stay up, and the journal records it even while it is unreachable. */
   void drain(int... hosts) throws IOException {
     for (int index : hosts) {
       FakeHost host = host(index);
@@ -144,7 +158,7 @@
     }
   }
 
-  /** The host's process ends, and another one under its name and address is ready. */
+  /** Ends the host's process and starts another one with the same name and address. */
   void restart(int index) throws IOException {
     FakeHost before = host(index);
     fixture.journal.add(true, before.endpoint("left"));
@@ -154,45 +168,48 @@
     fixture.journal.add(true, again.endpoint("active", System.currentTimeMillis()));
   }
 
-  // ---- judgement ----
+  // ---- checks ----
 
-  /** What was wrong. */
-  List<String> judge() {
-    List<String> found = new ArrayList<>();
+  /** Returns the violations found so far. */
+  List<String> findViolations() {
+    List<String> violations = new ArrayList<>();
     for (Drain drain : drains) {
-      long told =
+      long notifiedNanos =
           Math.max(
-              drain.sinceNanos, outageBeganNanos + TimeUnit.SECONDS.toNanos(TOLD_AFTER_SECONDS));
+              drain.sinceNanos,
+              outageBeganNanos + TimeUnit.SECONDS.toNanos(NOTIFIED_AFTER_SECONDS));
       long late =
           drain.host.timedCommands.stream()
-              .filter(command -> command.isNewWork() && command.nanos() > told + GRACE_NANOS)
+              .filter(
+                  command -> command.isNewWork() && command.nanos() > notifiedNanos + GRACE_NANOS)
               .count();
       if (late > 0) {
-        found.add(late + " sends to " + drain.host.name + " after its grace");
+        violations.add(
+            late + " new-work commands sent to " + drain.host.name + " after its grace period");
       }
     }
-    double share = served.get() / (double) Math.max(1, asked.get());
-    if (share < MIN_SERVED) {
-      found.add("served " + served + " of " + asked);
+    double servedShare = requestsServed.get() / (double) Math.max(1, requestsSent.get());
+    if (servedShare < MIN_SERVED_SHARE) {
+      violations.add("served only " + requestsServed + " of " + requestsSent);
     }
-    fixture.hosts.forEach(host -> judgeProbes(host, found));
-    if (!found.isEmpty()) {
-      found.add(
+    fixture.hosts.forEach(host -> checkProbeRate(host, violations));
+    if (!violations.isEmpty()) {
+      violations.add(
           "log " + process.log.subList(Math.max(0, process.log.size() - 12), process.log.size()));
     }
-    return found;
+    return violations;
   }
 
-  private static void judgeProbes(FakeHost host, List<String> found) {
+  private static void checkProbeRate(FakeHost host, List<String> violations) {
     Map<Long, Integer> perSecond = new TreeMap<>();
     for (TimedCommand command : host.timedCommands) {
       if (command.isProbe()) {
         perSecond.merge(TimeUnit.NANOSECONDS.toSeconds(command.nanos()), 1, Integer::sum);
       }
     }
-    int most = perSecond.values().stream().mapToInt(Integer::intValue).max().orElse(0);
-    if (most > MAX_PROBES_PER_SECOND) {
-      found.add(most + " probes in a second to " + host.name);
+    int highest = perSecond.values().stream().mapToInt(Integer::intValue).max().orElse(0);
+    if (highest > MAX_PROBES_PER_SECOND) {
+      violations.add(highest + " probes within one second to " + host.name);
     }
   }
 
--- a/src/test/java/flintlead/platform/PlatformHostTest.java
+++ b/src/test/java/flintlead/platform/PlatformHostTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A complete gateway on loopback, with faults of hosts and of the journal service. */
+/** A complete gateway on loopback, with faulty hosts and a faulty journal service. */
 class PlatformHostTest {
 
   private PlatformFixture fixture;
@@ -28,7 +28,7 @@
     fixture = new PlatformFixture(hosts, 256).start();
   }
 
-  // ---- bad hosts ----
+  // ---- faulty hosts ----
 
   @ParameterizedTest
   @ValueSource(
@@ -130,7 +130,7 @@
       assertEquals(
           200,
           fixture.invoke(i, "x").status(),
-          "invocation " + i + ": idempotent, and the host lives");
+          "invocation " + i + ": idempotent, and the host is alive");
     }
     assertEquals(9, fixture.hosts.get(0).invocations());
   }
@@ -153,13 +153,13 @@
     fixture.journal.add(true, old.endpoint("left"));
     int port = old.port();
     old.close();
-    // Until the accepting thread has let go of the port.
-    FakeHost heir =
+    // Retries until the accepting thread has released the port.
+    FakeHost successor =
         await()
             .ignoreException(java.net.BindException.class)
             .until(() -> fixture.anotherHost("s-heir", port), host -> true);
-    fixture.journal.add(true, second.endpoint("left"), heir.endpoint("active"));
-    await().until(() -> fixture.invoke(3, "x").status() == 200 && heir.invocations() > 0);
+    fixture.journal.add(true, second.endpoint("left"), successor.endpoint("active"));
+    await().until(() -> fixture.invoke(3, "x").status() == 200 && successor.invocations() > 0);
   }
 
   @ParameterizedTest
--- a/src/test/java/flintlead/platform/journal/HeartbeatAgeTest.java
+++ b/src/test/java/flintlead/platform/journal/HeartbeatAgeTest.java
@@ -7,7 +7,7 @@
 import flintlead.time.Span;
 import org.junit.jupiter.api.Test;
 
-/** How old a heartbeat may be when it arrives. */
+/** The earliest time at which a heartbeat can have been written. */
 class HeartbeatAgeTest {
 
   private static Moment at(double millis) {
@@ -15,37 +15,40 @@
   }
 
   @Test
-  void theFirstMayBeAsOldAsTheQuestion() {
-    assertEquals(at(0), new HeartbeatAge(at(0)).earliestWriting(at(900)));
+  void theFirstHeartbeatMayBeAsOldAsTheRequest() {
+    assertEquals(at(0), new HeartbeatAge(at(0)).earliestWriteTime(at(900)));
   }
 
-  /** A service whose second is a little longer is not taken for a slow one as time goes by. */
+  /**
+   * A service whose interval is slightly longer than a second must not be taken for a late one as
+   * time goes by.
+   */
   @Test
-  void heartbeatsInTimeAreYoungHoweverLongTheConnectionLasts() {
+  void timelyHeartbeatsCountAsRecentHoweverLongTheConnectionLasts() {
     HeartbeatAge ages = new HeartbeatAge(at(0));
     for (int i = 1; i < 10_000; i++) {
       Moment arrived = at(i * 1_010);
-      Span age = arrived.since(ages.earliestWriting(arrived));
+      Span age = arrived.since(ages.earliestWriteTime(arrived));
       assertTrue(age.isShorterThan(Span.ofMillis(1_011)), "heartbeat " + i);
     }
   }
 
   @Test
-  void heartbeatsThatComeLaterAndLaterAreOld() {
+  void increasinglyLateHeartbeatsCountAsOld() {
     HeartbeatAge ages = new HeartbeatAge(at(0));
     Moment written = null;
     for (int i = 1; i <= 10; i++) {
-      written = ages.earliestWriting(at(i * 1_500));
+      written = ages.earliestWriteTime(at(i * 1_500));
     }
-    assertEquals(at(9 * 1_050), written, "the tenth arrives after 15 s");
+    assertEquals(at(9 * 1_050), written, "the tenth heartbeat arrives after 15 s");
   }
 
   @Test
-  void aBurstOfHeartbeatsIsNoYoungerThanItsArrival() {
+  void aBurstOfHeartbeatsIsNotDatedAfterItsArrival() {
     HeartbeatAge ages = new HeartbeatAge(at(0));
     for (int i = 0; i < 5; i++) {
-      ages.earliestWriting(at(1_000));
+      ages.earliestWriteTime(at(1_000));
     }
-    assertEquals(at(1_000), ages.earliestWriting(at(1_000)));
+    assertEquals(at(1_000), ages.earliestWriteTime(at(1_000)));
   }
 }
