--- a/src/main/java/flintlead/gateway/upstream/Connection.java
+++ b/src/main/java/flintlead/gateway/upstream/Connection.java
@@ -19,8 +19,9 @@
 import java.util.Map;
 
 /**
- * One connection to a host, on the gateway's event loop. It first greets: an address that leads to
- * another host than the list says would get invocations whose repeats its group does not know.
+ * One connection to a host, used on the gateway's event loop only. Before any request it checks the
+ * host's name in a greeting: if the address led to another host, that host would get invocations
+ * whose repeats its group can't recognise, so that they could run twice.
  */
 final class Connection implements StreamListener, LineDecoder.LineHandler {
 
@@ -52,7 +53,7 @@
     this.writeStall = new WriteStall(context.limits());
   }
 
-  /** Takes the stream that is being opened, and gives it the limits' time to greet. */
+  /** Sets the stream, which is still opening, and starts the timeout for connect and greeting. */
   void open(Stream opening) {
     stream = opening;
     context
@@ -80,12 +81,12 @@
     return state == ConnectionState.CONNECTING;
   }
 
-  /** Whether the host has greeted and the connection has not ended; it may be draining. */
+  /** Whether the host's greeting was accepted and the connection is ready or draining. */
   boolean isEstablished() {
     return state.isEstablished();
   }
 
-  /** Whether it is being opened or open for new requests. */
+  /** Whether the connection is being opened, or is open and takes new requests. */
   boolean isCurrent() {
     return state == ConnectionState.CONNECTING || state == ConnectionState.READY;
   }
@@ -98,12 +99,12 @@
     return isReady() && inFlight.isEmpty();
   }
 
-  /** Silent for longer than a live host is. */
+  /** Whether the host has been silent for longer than a live host would be. */
   boolean isSuspect() {
     return heartbeat.isSuspect() && state != ConnectionState.CLOSED;
   }
 
-  /** When it last opened or sent a request. */
+  /** When the connection last became ready or sent a request. */
   Moment usedAt() {
     return usedAt;
   }
@@ -115,7 +116,7 @@
   /**
    * Whether a new request may be sent now.
    *
-   * @param onlyAddress whether the host has no other address: then a suspect connection is used too
+   * @param onlyAddress whether the host has no other address; suspect connections then count too
    */
   boolean acceptsRequests(boolean onlyAddress) {
     return isReady()
@@ -126,13 +127,13 @@
 
   // ---- heartbeat ----
 
-  /** Whether its silence would mean anything. */
+  /** Whether a response is due: to the greeting, a ping or a request. */
   boolean awaitsAnything() {
     return state != ConnectionState.CLOSED
         && (!inFlight.isEmpty() || heartbeat.isPinging() || isConnecting());
   }
 
-  /** Since when something is awaited and nothing was received; null if nothing is awaited. */
+  /** Since when a response is due and none was received; null if none is due. */
   Moment silentSince() {
     return heartbeat.silentSince();
   }
@@ -141,7 +142,7 @@
     return heartbeat.heardAfter(moment);
   }
 
-  /** Asks the host for a sign of life, unless a ping is out or bytes pile up. */
+  /** Sends a ping, unless one is unanswered or too many bytes are unsent. */
   void ping() {
     if (!heartbeat.isPinging()
         && state != ConnectionState.CLOSED
@@ -153,7 +154,7 @@
     }
   }
 
-  /** Judges the silence on the connection, and pings if that is due. */
+  /** Updates whether the host is suspect, and sends a ping if one is due. */
   void checkHeartbeat(Moment now) {
     if (isEstablished() && heartbeat.check(now, !inFlight.isEmpty())) {
       ping();
@@ -175,7 +176,7 @@
     writeStall.written(stream, usedAt);
   }
 
-  /** Tells the host that the request is not awaited any more. */
+  /** Sends the host a cancel for the request and stops waiting for its response. */
   void cancel(Exchange exchange) {
     if (inFlight.remove(exchange.requestId()) != null && state != ConnectionState.CLOSED) {
       stream.write(
@@ -186,31 +187,31 @@
     }
   }
 
-  /** Removes the idempotent requests that are out; they are not awaited here any more. */
+  /** Removes and returns the idempotent requests in flight; late responses are only counted. */
   List<Exchange> removeIdempotent() {
     List<Exchange> removed = new ArrayList<>();
     inFlight.values().removeIf(exchange -> exchange.isIdempotent() && removed.add(exchange));
     return removed;
   }
 
-  /** Whether it is known to have arrived; else a kernel may still hold it, or send it again. */
+  /** Whether the host has received the request; if not, a kernel may still send or resend it. */
   boolean hasArrived(Exchange exchange) {
     return ids.isAcknowledged(exchange.requestId());
   }
 
-  /** Whether something was sent that is not known to have arrived. */
+  /** Whether the open connection has requests that the host is not known to have received. */
   boolean hasUnacknowledged() {
     return ids.hasUnacknowledged() && state != ConnectionState.CLOSED;
   }
 
   // ---- end ----
 
-  /** Resets the connection, so that what has not left is never sent. */
+  /** Resets the connection, so that bytes still buffered in the kernel are never sent. */
   void reset(String reason) {
     fail(FailureKind.UNRESPONSIVE, reason);
   }
 
-  /** Takes no new requests; closes when the last request that is out has ended. */
+  /** Stops taking requests and closes once the last request in flight has ended. */
   void drain() {
     if (isReady()) {
       state = state.to(ConnectionState.DRAINING);
@@ -231,7 +232,7 @@
     state = state.to(ConnectionState.CLOSED);
     decoder.close();
     if (unacknowledged) {
-      // A kernel goes on sending what a close left behind: a withdrawn request would arrive late.
+      // After a plain close the kernel still sends its buffer: a withdrawn request could arrive.
       stream.abort();
     } else {
       stream.close();
@@ -239,7 +240,7 @@
     listener.connectionClosed(this);
   }
 
-  /** Closes at once; nobody is told. */
+  /** Closes at once, without a call to the listener. */
   void abort() {
     if (state != ConnectionState.CLOSED) {
       state = state.to(ConnectionState.CLOSED);
@@ -248,7 +249,7 @@
     }
   }
 
-  /** Fails the connection if the host has read nothing for too long. */
+  /** Fails the connection if the host has left too many bytes unread for too long. */
   void checkWrites(Moment now) {
     if (writeStall.hasTimedOut(stream, now)) {
       fail(FailureKind.UNRESPONSIVE, "the host reads nothing");
--- a/src/main/java/flintlead/gateway/upstream/ConnectionHeartbeat.java
+++ b/src/main/java/flintlead/gateway/upstream/ConnectionHeartbeat.java
@@ -3,9 +3,7 @@
 import flintlead.time.Moment;
 import flintlead.transport.dial.Heartbeat;
 
-/**
- * The heartbeat of one connection: the ping that is out, and whether the host is suspected dead.
- */
+/** The heartbeat of one connection: the unanswered ping, and whether the host is suspect. */
 final class ConnectionHeartbeat {
 
   private static final long NO_PING = -1;
@@ -14,38 +12,38 @@
   private long pingId = NO_PING;
   private boolean suspect;
 
-  /** Whether a ping is out. */
+  /** Whether a ping has been sent and not yet answered. */
   boolean isPinging() {
     return pingId >= 0;
   }
 
-  /** Silent for longer than a live host is. */
+  /** Whether the host has been silent for longer than a live host would be. */
   boolean isSuspect() {
     return suspect;
   }
 
-  /** A request was sent whose answer is awaited. */
+  /** Records that a request was sent, to which a response is now due. */
   void requestSent(Moment now) {
     pulse.requestSent(now);
   }
 
-  /** A ping was sent under the id. */
+  /** Records that a ping with the given id was sent. */
   void pingSent(long id, Moment now) {
     pingId = id;
     pulse.pingSent(now);
   }
 
-  /** The host answered something: it is not suspect any more. */
+  /** Records that any response was received: the host is no longer suspect. */
   void clearSuspicion() {
     suspect = false;
   }
 
-  /** The host answered a request or greeted. */
+  /** Records that the host answered a request or the greeting. */
   void responseReceived(Moment now) {
     pulse.received(now);
   }
 
-  /** Takes the answer if it is to the ping that is out; returns whether it was. */
+  /** Consumes the response if it answers the unanswered ping; returns whether it does. */
   boolean takePong(long id, Moment now) {
     if (!isPinging() || id != pingId) {
       return false;
@@ -56,9 +54,9 @@
   }
 
   /**
-   * Judges the silence on the connection.
+   * Updates whether the host is suspect, from how long it has been silent.
    *
-   * @param awaiting whether any request is out on it
+   * @param awaiting whether any request is in flight on the connection
    * @return whether a ping is due
    */
   boolean check(Moment now, boolean awaiting) {
@@ -71,12 +69,12 @@
     return true;
   }
 
-  /** Since when something is awaited and nothing was received; null if nothing is awaited. */
+  /** Since when a response is due and none was received; null if none is due. */
   Moment silentSince() {
     return pulse.silentSince();
   }
 
-  /** Whether the host was heard on this connection after the moment; false for null. */
+  /** Whether anything was received on this connection after the moment; false for null. */
   boolean heardAfter(Moment moment) {
     return moment != null && pulse.lastReceivedAt().isAfter(moment);
   }
--- a/src/main/java/flintlead/gateway/upstream/ConnectionListener.java
+++ b/src/main/java/flintlead/gateway/upstream/ConnectionListener.java
@@ -5,39 +5,39 @@
 import flintlead.transport.dial.AddressSelector.FailureKind;
 import java.util.List;
 
-/** What a {@link Connection} reports to its link, on the gateway's event loop. */
+/** Receives the events of a {@link Connection}, on the gateway's event loop. */
 interface ConnectionListener {
 
-  /** The host's name, which the greeting has to confirm. */
+  /** The host's name in the host list, which the greeting must match. */
   String hostName();
 
-  /** Whether the start of the host's process in the greeting is the current or a newer one. */
+  /** Whether the process start in the greeting is the current or a new one, not a replaced one. */
   boolean acceptsProcess(Connection connection, String processStart);
 
-  /** The host has greeted; its process is of that age. */
+  /** The greeting was accepted; the host's process has the given age. */
   void connectionReady(Connection connection, Span processAge);
 
-  /** The host announced that it drains. */
+  /** The host announced that it is draining. */
   void hostDraining();
 
-  /** The host answered something. */
+  /** The host answered a greeting, a ping or a request. */
   void responseReceived(Connection connection);
 
-  /** A request that is still awaited was answered; its end follows. */
+  /** A request in flight was answered; the call of {@link Exchange#end} follows. */
   void requestAnswered(Exchange exchange, Outcome outcome);
 
-  /** An answer came to a request that had been given up. */
+  /** A response was received for a request that is no longer in flight. */
   void lateResponse();
 
-  /** The connection may take requests again. */
+  /** The connection may accept requests again. */
   void connectionWritable();
 
-  /** The connection was closed from this side, after its last request had ended. */
+  /** The gateway closed the connection after its last request had ended. */
   void connectionClosed(Connection connection);
 
   /** The connection failed; {@link #requestsLost} follows. */
   void connectionFailed(Connection connection, FailureKind kind, String reason);
 
-  /** The requests that were out on a connection that failed. */
+  /** The connection failed with these requests in flight; the list may be empty. */
   void requestsLost(List<Exchange> unanswered, String reason);
 }
--- a/src/main/java/flintlead/gateway/upstream/ConnectionQuota.java
+++ b/src/main/java/flintlead/gateway/upstream/ConnectionQuota.java
@@ -1,11 +1,11 @@
 package flintlead.gateway.upstream;
 
-/** The connections to all hosts together, as far as one host's link has to know of them. */
+/** Counts the connections to all hosts, and closes idle ones when a link needs another. */
 public interface ConnectionQuota {
 
-  /** How many connections are open or being opened, to all hosts. */
+  /** Number of connections to all hosts, open or being opened. */
   int totalConnections();
 
-  /** Closes the connection that has been idle longest, of any host. */
+  /** Closes the connection that has been idle longest among those to all hosts. */
   void closeLongestIdle();
 }
--- a/src/main/java/flintlead/gateway/upstream/ConnectionSet.java
+++ b/src/main/java/flintlead/gateway/upstream/ConnectionSet.java
@@ -8,14 +8,14 @@
 import java.util.List;
 import java.util.function.BooleanSupplier;
 
-/** The connections to one host, and which of them a request is best sent on. */
+/** The connections to one host; selects the one on which a request is sent. */
 final class ConnectionSet implements Iterable<Connection> {
 
   private final AddressSelector<Address> addresses;
   private final BooleanSupplier hasOtherAddresses;
   private final List<Connection> connections = new ArrayList<>();
 
-  /** Makes an empty set; the supplier says whether the host has more than one address. */
+  /** Creates an empty set; the supplier returns whether the host has more than one address. */
   ConnectionSet(AddressSelector<Address> addresses, BooleanSupplier hasOtherAddresses) {
     this.addresses = addresses;
     this.hasOtherAddresses = hasOtherAddresses;
@@ -42,12 +42,12 @@
     return connections.iterator();
   }
 
-  /** A copy, for a walk in which connections may close. */
+  /** A copy to iterate over while connections close. */
   List<Connection> snapshot() {
     return new ArrayList<>(connections);
   }
 
-  /** The least loaded connection on the best address; null if none accepts requests. */
+  /** The connection with the fewest requests on the best address; null if none accepts any. */
   Connection best() {
     List<Address> responsive = responsiveAddresses();
     boolean onlyAddress = !hasOtherAddresses.getAsBoolean();
@@ -69,7 +69,7 @@
         || rank == otherRank && one.requestsInFlight() < other.requestsInFlight();
   }
 
-  /** Addresses with an established connection that is not suspect, once for each connection. */
+  /** Addresses of the established connections that are not suspect, one entry a connection. */
   private List<Address> responsiveAddresses() {
     List<Address> responsive = new ArrayList<>(connections.size());
     for (Connection connection : connections) {
@@ -80,7 +80,7 @@
     return responsive;
   }
 
-  /** Addresses with a connection that is being opened or takes requests. */
+  /** Addresses of the connections that are being opened or take requests, one entry each. */
   List<Address> addressesInUse() {
     List<Address> inUse = new ArrayList<>(connections.size());
     for (Connection connection : connections) {
@@ -91,7 +91,7 @@
     return inUse;
   }
 
-  /** Since when the connection that is idle longest carries nothing; null if none is idle. */
+  /** When the longest idle connection was last used; null if no connection is idle. */
   Moment idleSince() {
     Moment oldest = null;
     for (Connection connection : connections) {
@@ -102,7 +102,7 @@
     return oldest;
   }
 
-  /** Closes the connection that is idle longest, if any is. */
+  /** Closes the longest idle connection, if any connection is idle. */
   void closeLongestIdle() {
     Moment oldest = idleSince();
     for (Connection connection : snapshot()) {
@@ -113,7 +113,7 @@
     }
   }
 
-  /** Asks the host for a sign of life on every established connection. */
+  /** Pings the host on every established connection. */
   void pingAll() {
     connections.stream().filter(Connection::isEstablished).toList().forEach(Connection::ping);
   }
--- a/src/main/java/flintlead/gateway/upstream/ConnectionState.java
+++ b/src/main/java/flintlead/gateway/upstream/ConnectionState.java
@@ -13,20 +13,20 @@
  * </pre>
  */
 enum ConnectionState {
-  /** Being opened, or the host has not said yet who it is. */
+  /** Being opened, or open and waiting for the host's greeting. */
   CONNECTING,
-  /** The host has greeted; new requests may be sent. */
+  /** The greeting was accepted; new requests may be sent. */
   READY,
-  /** No new requests; closes when the last request that is out has ended. */
+  /** Takes no new requests and closes when the last request in flight has ended. */
   DRAINING,
-  /** Ended; nothing follows. */
+  /** Closed or failed; the final state. */
   CLOSED;
 
   private static final Set<ConnectionState> AFTER_CONNECTING = EnumSet.of(READY, CLOSED);
   private static final Set<ConnectionState> AFTER_READY = EnumSet.of(DRAINING, CLOSED);
 
   /**
-   * Moves to the next state.
+   * Returns the next state, after checking that the transition is allowed.
    *
    * @throws IllegalStateException if the transition is not allowed
    */
@@ -39,12 +39,12 @@
           case CLOSED -> false;
         };
     if (!allowed) {
-      throw new IllegalStateException("connection can't go from " + this + " to " + next);
+      throw new IllegalStateException("connection state can't change from " + this + " to " + next);
     }
     return next;
   }
 
-  /** Whether the host has greeted and the connection has not ended. */
+  /** Whether the greeting was accepted and the connection is not closed. */
   boolean isEstablished() {
     return this == READY || this == DRAINING;
   }
--- a/src/main/java/flintlead/gateway/upstream/Dialer.java
+++ b/src/main/java/flintlead/gateway/upstream/Dialer.java
@@ -6,7 +6,7 @@
 import flintlead.transport.loop.EventExecutor;
 import java.util.List;
 
-/** Opens connections to one host: which address is next, and whether the budget allows one more. */
+/** Opens connections to one host: selects the address and observes the connection budget. */
 final class Dialer {
 
   private final UpstreamContext context;
@@ -28,7 +28,7 @@
     this.connections = connections;
   }
 
-  /** Opens nothing more. */
+  /** Opens no more connections from now on. */
   void stop() {
     stopped = true;
   }
@@ -37,13 +37,13 @@
     return stopped;
   }
 
-  /** Whether some address may be dialled at this moment. */
+  /** Whether any address may be dialled now. */
   boolean mayDialNow() {
     Moment at = addresses.nextDialAt(loop.now(), List.of());
     return at != null && !at.isAfter(loop.now());
   }
 
-  /** Dials the best address not in use, if it is time for one; attempts are staggered. */
+  /** Dials the best address not in use, if the stagger between dials allows one now. */
   void dialNext() {
     Address next =
         stopped ? null : addresses.nextToDial(loop.now(), connections.addressesInUse(), true);
@@ -52,7 +52,10 @@
     }
   }
 
-  /** Dials the address of a crowded connection again, within the limit for one host. */
+  /**
+   * Opens another connection to the address of a crowded one, unless one is being opened there or
+   * the address has {@link UpstreamLimits#connectionsPerHost} connections.
+   */
   void dialBeside(Connection crowded) {
     int sameAddress = 0;
     for (Connection connection : connections) {
@@ -68,7 +71,7 @@
     }
   }
 
-  /** Dials an address that is preferred to the one that serves, if one may be tried again. */
+  /** Dials an address that ranks above the serving one, if one may be retried now. */
   void dialPreferredTo(Connection serving) {
     Address preferred =
         addresses.betterCandidate(serving.address(), loop.now(), connections.addressesInUse());
@@ -91,7 +94,7 @@
     connection.open(context.transport().connect(address, connection));
   }
 
-  /** The system has no file descriptor left: stops dialling for a while, frees a connection. */
+  /** No file descriptor is left: suspends dialling and closes the longest idle connection. */
   void descriptorsExhausted() {
     context.budget().descriptorsExhausted(loop.now());
     context.quota().closeLongestIdle();
--- a/src/main/java/flintlead/gateway/upstream/Exchange.java
+++ b/src/main/java/flintlead/gateway/upstream/Exchange.java
@@ -6,7 +6,7 @@
 import flintlead.transport.jsonrpc.MessageWriter;
 
 /**
- * One request to a host and its end. Used on the gateway's event loop only.
+ * One request to a host and how it ends. Used on the gateway's event loop only.
  *
  * <p>Allowed transitions:
  *
@@ -17,13 +17,13 @@
  */
 public abstract class Exchange {
 
-  /** Where the request is; see the transitions in the class comment. */
+  /** The state of the request; the class comment lists the transitions. */
   private enum State {
-    /** No byte can have left the gateway. */
+    /** Not sent: no byte can have left the gateway. */
     QUEUED,
-    /** Bytes may have left; from here on only an answer can prove that the host did not run it. */
+    /** Bytes may have left; from here on only a response can prove that the host did not run it. */
     SENT,
-    /** Ended or withdrawn; no byte has left or will leave. */
+    /** Ended or withdrawn before it was sent; no byte has left or will leave. */
     ENDED_UNSENT,
     /** Ended or withdrawn after bytes may have left. */
     ENDED_AFTER_SEND;
@@ -38,27 +38,27 @@
   private Connection connection;
   private Moment sentAt;
 
-  /** The method's name in the hosts' protocol. */
+  /** The JSON-RPC method of the request. */
   protected abstract String method();
 
-  /** Writes the request's parameters; called when the request is sent. */
+  /** Writes the request's parameters; called once, when the request is sent. */
   protected abstract void params(MessageWriter frame);
 
   /**
-   * Whether a second run is harmless, so that the request may end with {@link
-   * flintlead.scheduling.api.Outcome#CONNECTION_LOST} when its connection goes silent while the
-   * host answers on another address. The answer to any other request is awaited where the request
-   * went.
+   * Whether the host may safely run the request twice. If its connection goes silent while the host
+   * answers on another address, an idempotent request ends with {@link
+   * flintlead.scheduling.api.Outcome#CONNECTION_LOST} and may be retried. Any other request keeps
+   * waiting for the response on the connection on which it was sent.
    */
   protected boolean isIdempotent() {
     return false;
   }
 
   /**
-   * Whether the request may leave now.
+   * Whether the request may be sent now.
    *
-   * @param deliveredUpTo up to when the events of all sockets were delivered
-   * @param clock the present time
+   * @param deliveredUpTo the time up to which the events of all sockets have been delivered
+   * @param clock the current time
    */
   protected SendVerdict maySend(Moment deliveredUpTo, Moment clock) {
     return InvocationGuard.isRecent(deliveredUpTo, clock)
@@ -66,12 +66,14 @@
         : SendVerdict.LOOK_FIRST;
   }
 
-  /** Whether it brings the host new work, so that the host's lease must hold when it leaves. */
+  /**
+   * Whether the request gives the host new work; the host's lease must be valid when it is sent.
+   */
   protected boolean isNewWork() {
     return false;
   }
 
-  /** The request has ended; called at most once, and never after {@link HostLink#withdraw}. */
+  /** Called when the request ends; at most once, and never after {@link HostLink#withdraw}. */
   protected abstract void ended(ExchangeResult result);
 
   /** Whether any byte of the request may have left the gateway. */
@@ -84,25 +86,26 @@
     return state.hasEnded();
   }
 
-  /** The request's id on its connection; meaningful once it was sent. */
+  /** The request's id on its connection; valid only once the request was sent. */
   final long requestId() {
     return requestId;
   }
 
-  /** When it was sent; null while queued. */
+  /** When the request was sent; null if it was not. */
   final Moment sentAt() {
     return sentAt;
   }
 
-  /** The connection it was sent on; null while queued. */
+  /** The connection on which the request was sent; null if it was not. */
   final Connection connection() {
     return connection;
   }
 
-  /** Records that bytes may leave on the connection from now on, whatever becomes of it. */
+  /** Marks the request as sent: from now on its bytes may leave on the connection. */
   final void markSent(Connection carrier, long id, Moment now) {
     if (state != State.QUEUED) {
-      throw new IllegalStateException("request sent in state " + state);
+      throw new IllegalStateException(
+          "request can't be sent: its state is " + state + " instead of " + State.QUEUED);
     }
     state = State.SENT;
     connection = carrier;
@@ -110,7 +113,7 @@
     requestId = id;
   }
 
-  /** Ends the request without telling {@link #ended}. */
+  /** Ends the request without calling {@link #ended}; does nothing if it has ended already. */
   final void markWithdrawn() {
     if (!hasEnded()) {
       state = state == State.SENT ? State.ENDED_AFTER_SEND : State.ENDED_UNSENT;
--- a/src/main/java/flintlead/gateway/upstream/ExchangeResult.java
+++ b/src/main/java/flintlead/gateway/upstream/ExchangeResult.java
@@ -10,7 +10,7 @@
  *     result
  * @param loadFailed whether the host reports that the request failed because an instance did not
  *     load
- * @param reason a sentence for logs and clients; null for {@link Outcome#OK}
+ * @param reason text for logs and for the client; null for {@link Outcome#OK}
  */
 public record ExchangeResult(
     Outcome outcome, JsonMembers members, boolean loadFailed, String reason) {
@@ -25,7 +25,7 @@
     return new ExchangeResult(outcome, JsonMembers.NONE, loadFailed, reason);
   }
 
-  /** The request ended without an answer of the host. */
+  /** The request ended without a response from the host. */
   public static ExchangeResult unanswered(Outcome outcome, String reason) {
     return new ExchangeResult(outcome, JsonMembers.NONE, false, reason);
   }
--- a/src/main/java/flintlead/gateway/upstream/HostLink.java
+++ b/src/main/java/flintlead/gateway/upstream/HostLink.java
@@ -12,26 +12,26 @@
 import java.util.List;
 
 /**
- * The link to one host: connections on its addresses, opened when there is something to send, left
- * when they go silent while the host answers on another. To the scheduler it is one host, whatever
- * the address. Used on the gateway's event loop only.
+ * The link to one host. Opens connections to the host's addresses when requests are to be sent, and
+ * drains a connection that goes silent while the host answers on another one. The scheduler sees
+ * one host, whichever address is used. Used on the gateway's event loop only.
  */
 public final class HostLink {
 
-  /** What a host reports of itself, outside of answers. */
+  /** Receives the notices that a host sends outside of its responses to requests. */
   public interface Listener {
 
-    /** The host has greeted: which start of its process this is, and how old the process is. */
+    /** The host's greeting was accepted; it names the process start and the process's age. */
     void hostGreeted(HostLink link, String processStart, Span processAge);
 
-    /** The host announced that it drains. */
+    /** The host announced that it is draining. */
     void hostDraining(HostLink link);
   }
 
-  /** From this many requests on the best connection, another one is opened beside it. */
+  /** With more requests than this on the best connection, another one is opened to its address. */
   private static final int CROWDED = 64;
 
-  /** How long the host may take to answer elsewhere before a lost connection means a lost host. */
+  /** How long to wait for a sign of life after a lost connection before the host counts as lost. */
   private static final Span ORPHAN_TIMEOUT = Span.ofMillis(150);
 
   private final UpstreamContext context;
@@ -48,7 +48,7 @@
   private long lateResponses;
   private Moment heardAt;
 
-  /** Makes a link without connections. */
+  /** Creates a link without connections. */
   public HostLink(HostSpec spec, UpstreamContext context, Listener listener) {
     this.spec = spec;
     this.context = context;
@@ -69,12 +69,12 @@
     return "unix";
   }
 
-  /** The host's line of the list. */
+  /** The host's entry in the host list. */
   public HostSpec spec() {
     return spec;
   }
 
-  /** Takes a changed line of the list; connections on addresses that left it drain. */
+  /** Applies a changed entry; connections to addresses that it no longer names are drained. */
   public void spec(HostSpec changed) {
     spec = changed;
     addresses.addresses(changed.addresses());
@@ -87,7 +87,7 @@
 
   // ---- requests ----
 
-  /** Sends the request on the best connection, or queues it. It never ends within this call. */
+  /** Sends the request on the best connection, or queues it; never ends it within the call. */
   public void run(Exchange exchange) {
     Connection best = connections.best();
     if (best != null && queue.verdict(exchange) != SendVerdict.SEND) {
@@ -114,10 +114,10 @@
   }
 
   /**
-   * Ends a request early, without a call of {@link Exchange#attemptEnded}. If it was sent, the host
-   * is told and its answer is not awaited any more.
+   * Ends a request early, without calling {@link Exchange#ended}. If it was sent, the host gets a
+   * cancel, and a response that still arrives counts as late.
    *
-   * @return whether the request can't have left; then nothing of it is ever sent
+   * @return whether the request was not sent; no byte of it will be sent then
    */
   public boolean withdraw(Exchange exchange) {
     boolean sent = exchange.mayHaveBeenSent();
@@ -132,9 +132,9 @@
   }
 
   /**
-   * Sees to it that the request arrives now or never. Unless it is known to have arrived, its
-   * connection is reset: a network that was cut would otherwise deliver it when it is whole again,
-   * after the hosts have forgotten its token.
+   * Ensures that the request can't reach the host later. Ends it if it is queued, and otherwise
+   * resets its connection unless the host is known to have received it. The kernel could otherwise
+   * deliver it when a network partition heals, after the hosts have forgotten its token.
    */
   public void recall(Exchange exchange) {
     if (!exchange.mayHaveBeenSent()) {
@@ -149,8 +149,8 @@
   }
 
   /**
-   * Resets every connection with requests that are not known to have arrived: the host drains and
-   * its grace is over. A network that lost them would send them again and again.
+   * Resets every connection with requests that the host is not known to have received; called when
+   * the grace period of a draining host is over. The kernel would otherwise keep resending them.
    */
   public void recallAll() {
     for (Connection connection : connections.snapshot()) {
@@ -161,12 +161,12 @@
     }
   }
 
-  /** Fails what is queued if there is neither a connection nor an address to dial now. */
+  /** Fails the queued requests if there is no connection and no address may be dialled now. */
   void failQueuedIfUnreachable() {
     queue.failIfUnreachable(spec.name());
   }
 
-  /** Whether requests wait for a connection, or for a sign of life on another one. */
+  /** Whether requests wait for a connection, or for a sign of life after theirs was lost. */
   boolean awaitsConnection() {
     return !queue.isEmpty() || !orphans.isEmpty();
   }
@@ -181,10 +181,10 @@
     addresses.markSuspect(address);
   }
 
-  /** The host answers on another address: leaves this one; what is idempotent may be retried. */
+  /** Drains a silent connection of a host that answers elsewhere; idempotent requests end. */
   void leaveSilent(Connection silent) {
     if (silent.isReady()) {
-      // Once for each connection: it stays here, draining, while requests are out on it.
+      // Logged once a connection: while it drains, it is not ready and this is skipped.
       context
           .log()
           .atWarn()
@@ -199,14 +199,14 @@
     retryable.forEach(exchange -> orphans.connectionLost(exchange, reason));
   }
 
-  /** When the host last answered anything; null if it never did. */
+  /** When the host last answered a greeting, ping or request; null if it never did. */
   public Moment heardAt() {
     return heardAt;
   }
 
   // ---- lifecycle ----
 
-  /** Closes connections that have nothing in flight. */
+  /** Closes the connections that have no requests in flight. */
   public void closeIdle() {
     for (Connection connection : connections.snapshot()) {
       if (connection.isIdle()) {
@@ -215,31 +215,31 @@
     }
   }
 
-  /** Since when its longest idle connection carries nothing; null if none is idle. */
+  /** When the longest idle connection was last used; null if no connection is idle. */
   public Moment idleSince() {
     return connections.idleSince();
   }
 
-  /** Closes its longest idle connection. */
+  /** Closes the longest idle connection, if any connection is idle. */
   public void closeLongestIdle() {
     connections.closeLongestIdle();
   }
 
-  /** The host has left the list: opens no connection; what is out ends where it is. */
+  /** The host has left the list: opens no more connections, drains those there are. */
   public void retire() {
     dialer.stop();
     connections.snapshot().forEach(Connection::drain);
     queue.retire(Outcome.CONNECT_FAILED, spec.name() + " has left the list");
   }
 
-  /** Drops everything at once. */
+  /** Aborts all connections and drops all queued requests, without ending them. */
   public void close() {
     dialer.stop();
     queue.clear();
     connections.snapshot().forEach(Connection::abort);
   }
 
-  /** Fails connections whose host reads nothing, closes those idle for too long. */
+  /** Fails connections with a write stall that timed out, closes those past the idle timeout. */
   public void check(Moment now) {
     for (Connection connection : connections.snapshot()) {
       connection.checkWrites(now);
@@ -250,27 +250,27 @@
     }
   }
 
-  /** Whether nothing is open and nothing queued. */
+  /** Whether there are no connections and no queued requests. */
   public boolean isIdle() {
     return connections.isEmpty() && queue.isEmpty();
   }
 
-  /** Connections open or being opened. */
+  /** Number of connections, open or being opened. */
   public int connections() {
     return connections.size();
   }
 
-  /** How many answers came after their request had been given up. */
+  /** Number of responses received for requests that were no longer in flight. */
   public long lateResponses() {
     return lateResponses;
   }
 
-  /** How many requests ended because their connection was lost while the host lived. */
+  /** Number of requests that ended because their connection was lost while the host lived. */
   public long connectionLostCount() {
     return orphans.connectionLostCount();
   }
 
-  /** What the connections report. */
+  /** Handles the events of the link's connections. */
   private final class ConnectionEvents implements ConnectionListener {
 
     @Override
@@ -292,13 +292,13 @@
         }
         case REPLACES_CURRENT -> drainOthers(connection);
         default -> {
-          // The process that is known here.
+          // The current process: the connection is accepted.
         }
       }
       return true;
     }
 
-    /** Connections to the process before are about to break: nothing new goes there. */
+    /** Drains the connections to the replaced process, which are about to break. */
     private void drainOthers(Connection current) {
       connections.snapshot().stream()
           .filter(other -> other != current && other.isEstablished())
@@ -316,7 +316,7 @@
       monitor.schedule();
     }
 
-    /** The race of staggered dials is won: dials of lower rank are not awaited. */
+    /** Aborts the pending dials to addresses that rank below the one that has connected. */
     private void abortDialsOfWorse(Address winner) {
       for (Connection other : connections.snapshot()) {
         if (other.isConnecting()
--- a/src/main/java/flintlead/gateway/upstream/HostSpec.java
+++ b/src/main/java/flintlead/gateway/upstream/HostSpec.java
@@ -6,16 +6,16 @@
 import java.util.List;
 
 /**
- * A line of the host list.
+ * An entry of the host list.
  *
- * @param name the host's name everywhere; its number comes from it
- * @param addresses where it is reached, the preferred one first
- * @param zone the zone that it is in
+ * @param name the host's unique name; its numeric id is a hash of it
+ * @param addresses the host's addresses, the preferred one first
+ * @param zone the host's zone
  * @param cell the cell within the zone
- * @param kind the kind of host, by which pools may choose
- * @param state what the list says of it
- * @param startedAt when its process started; zero for the distant past
- * @param weight its capacity relative to other hosts
+ * @param kind the kind of host, by which pools may select hosts
+ * @param state the host's state according to the list
+ * @param startedAt when the host's process started; zero for the distant past
+ * @param weight the host's capacity relative to other hosts
  */
 public record HostSpec(
     String name,
@@ -27,10 +27,10 @@
     Moment startedAt,
     double weight) {
 
-  /** More addresses than any host has; a longer list is refused where it is read. */
+  /** The most addresses of a host; the reader of the host list rejects longer ones. */
   public static final int MAX_ADDRESSES = 16;
 
-  /** Throws IllegalArgumentException if there is no address, too many, or one stands twice. */
+  /** Throws IllegalArgumentException if there are no addresses, too many, or duplicates. */
   public HostSpec {
     addresses = List.copyOf(addresses);
     boolean distinct = addresses.stream().distinct().count() == addresses.size();
@@ -45,17 +45,17 @@
     return new HostSpec(name, List.of(addresses), 0, 0, 0, HostEntry.State.READY, new Moment(0), 1);
   }
 
-  /** The same host in a zone and cell. */
+  /** A copy with another zone and cell. */
   public HostSpec withLocation(int zone, int cell) {
     return new HostSpec(name, addresses, zone, cell, kind, state, startedAt, weight);
   }
 
-  /** The same host in another state. */
+  /** A copy with another state. */
   public HostSpec withState(HostEntry.State state) {
     return new HostSpec(name, addresses, zone, cell, kind, state, startedAt, weight);
   }
 
-  /** The same host, started at the moment. */
+  /** A copy with another process start time. */
   public HostSpec startedAt(Moment startedAt) {
     return new HostSpec(name, addresses, zone, cell, kind, state, startedAt, weight);
   }
--- a/src/main/java/flintlead/gateway/upstream/LinkProofs.java
+++ b/src/main/java/flintlead/gateway/upstream/LinkProofs.java
@@ -16,8 +16,9 @@
 import java.util.function.Consumer;
 
 /**
- * The lease of one link's host: tells {@link HostLeases} what the host's answers prove, and holds
- * the requests that wait until a probe has renewed the lease. One probe at a time.
+ * Guards new work for one link's host by the host's lease. Reports to {@link HostLeases} what the
+ * host's responses prove, and holds requests until a probe has renewed the lease. At most one probe
+ * is in progress.
  */
 final class LinkProofs {
 
@@ -33,9 +34,9 @@
   private boolean retired;
 
   /**
-   * Creates proofs of a host that nothing waits for.
+   * Creates an instance without waiting requests.
    *
-   * @param send queues a request, or sends it
+   * @param send sends a request, or queues it
    * @param withdraw ends a request without an outcome
    */
   LinkProofs(
@@ -52,12 +53,12 @@
     this.withdraw = withdraw;
   }
 
-  /** Whether new work may leave at that time. */
+  /** Whether new work may be sent at the given time. */
   SendVerdict maySend(Moment clock) {
     return guard.maySend(host, clock);
   }
 
-  /** The host answered a request. */
+  /** Reports to the leases that the host answered a request, if the request was new work. */
   void answered(Exchange exchange, Outcome outcome) {
     if (retired || !exchange.isNewWork()) {
       return;
@@ -69,7 +70,7 @@
     }
   }
 
-  /** The host has left the list. */
+  /** The host has left the list: discards its lease and ignores later responses. */
   void retire() {
     retired = true;
     leases.forget(host);
@@ -87,14 +88,16 @@
     waiting.clear();
   }
 
-  /** Takes out all that wait. */
+  /** Removes and returns all waiting requests. */
   List<Exchange> takeWaiting() {
     List<Exchange> taken = List.copyOf(waiting);
     waiting.clear();
     return taken;
   }
 
-  /** Holds the request until a probe has renewed the lease; it is ended where none can. */
+  /**
+   * Holds the request until a probe renews the lease; ends it if no probe is allowed or it fails.
+   */
   void await(Exchange exchange) {
     waiting.add(exchange);
     if (probe == null) {
@@ -142,7 +145,7 @@
     }
   }
 
-  /** Asks the host for a sign that it takes new work: one that drains refuses it. */
+  /** Asks the host whether it takes new work; a draining host answers with an error. */
   private final class Probe extends Exchange {
 
     @Override
@@ -152,7 +155,7 @@
 
     @Override
     protected void params(MessageWriter frame) {
-      // A probe has no parameters.
+      // The probe method has no parameters.
     }
 
     @Override
--- a/src/main/java/flintlead/gateway/upstream/LivenessMonitor.java
+++ b/src/main/java/flintlead/gateway/upstream/LivenessMonitor.java
@@ -4,9 +4,9 @@
 import flintlead.transport.loop.EventExecutor;
 
 /**
- * Looks at the connections to one host every {@link #INTERVAL} while something is awaited: pings
- * those that are silent, leaves one that is silent while the host answers elsewhere, goes on with
- * staggered dials.
+ * Checks the connections to one host every {@link #INTERVAL} while a response or a connection is
+ * awaited. Pings on silent connections, fails over from a connection that is silent while the host
+ * answers on another one, and starts the next staggered dial.
  */
 final class LivenessMonitor {
 
@@ -25,7 +25,7 @@
     this.dialer = dialer;
   }
 
-  /** Schedules the next check, unless one is scheduled or the link is closed. */
+  /** Schedules the next check, unless one is scheduled or the dialer is stopped. */
   void schedule() {
     if (scheduled || dialer.isStopped()) {
       return;
@@ -54,7 +54,7 @@
     return false;
   }
 
-  /** Checks all connections at once. */
+  /** Checks all connections now. */
   void checkNow() {
     if (dialer.isStopped()) {
       return;
@@ -75,7 +75,7 @@
     }
   }
 
-  /** Leaves the suspect connection if the host answers on another one; else seeks another one. */
+  /** Fails over if the host answers on another connection; otherwise pings there and dials. */
   private void replaceSuspect(Connection suspect) {
     link.markSuspect(suspect.address());
     for (Connection other : connections) {
--- a/src/main/java/flintlead/gateway/upstream/OrphanedRequests.java
+++ b/src/main/java/flintlead/gateway/upstream/OrphanedRequests.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 
 /**
- * Requests whose connection broke, while it is asked on the host's other addresses whether the host
- * lives. Only then is the death of the host, which the scheduler must learn of, told apart from the
- * failure of one way to it.
+ * Requests whose connection broke, held while the host's other addresses are checked for a sign of
+ * life. The check distinguishes a dead host, which is reported to the scheduler, from a failed
+ * network path to a live one.
  */
 final class OrphanedRequests {
 
@@ -20,7 +20,7 @@
     return reasons.isEmpty();
   }
 
-  /** Keeps the requests until their fate is known, with the reason why their connection broke. */
+  /** Holds the requests until the check is decided, with the reason why their connection broke. */
   void add(List<Exchange> requests, String reason) {
     requests.forEach(request -> reasons.put(request, reason));
   }
@@ -33,7 +33,10 @@
     return new ArrayList<>(reasons.keySet());
   }
 
-  /** The host answered on another address: idempotent requests may be retried, others end. */
+  /**
+   * The host gave a sign of life: ends the requests, idempotent ones with an outcome that allows a
+   * retry.
+   */
   void hostAlive(List<Exchange> requests) {
     for (Exchange request : requests) {
       String reason = reasons.remove(request);
@@ -43,13 +46,13 @@
       if (request.isIdempotent()) {
         connectionLost(request, reason);
       } else {
-        // Cancelled, not reset: the host is as healthy as it was.
+        // CANCELLED instead of RESET: the loss must not count against a live host.
         request.end(ExchangeResult.unanswered(Outcome.CANCELLED, reason));
       }
     }
   }
 
-  /** No sign of life in time: the requests end as with a host that died. */
+  /** The host gave no sign of life in time: ends the requests as for a dead host. */
   void hostSilent(List<Exchange> requests) {
     for (Exchange request : requests) {
       String reason = reasons.remove(request);
@@ -59,13 +62,13 @@
     }
   }
 
-  /** Ends an idempotent request whose connection is lost while its host lives. */
+  /** Ends an idempotent request whose connection was lost while its host lived. */
   void connectionLost(Exchange request, String reason) {
     connectionLostCount++;
     request.end(ExchangeResult.unanswered(Outcome.CONNECTION_LOST, reason));
   }
 
-  /** How many requests ended because their connection was lost while the host lived. */
+  /** Number of idempotent requests whose connection was lost while the host lived. */
   long connectionLostCount() {
     return connectionLostCount;
   }
--- a/src/main/java/flintlead/gateway/upstream/ProcessIdentity.java
+++ b/src/main/java/flintlead/gateway/upstream/ProcessIdentity.java
@@ -3,31 +3,31 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** Which start of a host's process is current. An address may lead to one that was replaced. */
+/** Tracks which start of a host's process is current; an address may reach a replaced process. */
 final class ProcessIdentity {
 
-  /** What a greeting says of the process behind a connection. */
+  /** How the process in a greeting relates to the current one. */
   enum Verdict {
     /** The current process, or the first one seen. */
     CURRENT,
-    /** A newer process: connections to the one before are about to break. */
+    /** A new process: connections to the replaced one are about to break. */
     REPLACES_CURRENT,
-    /** A process that a newer one has replaced: two hosts have the same name. */
+    /** A process that was already replaced: two hosts have the same name. */
     OUTDATED
   }
 
-  /** How many replaced starts are remembered. */
+  /** Number of replaced process starts that are remembered. */
   private static final int MAX_REPLACED = 8;
 
   private final Deque<String> replaced = new ArrayDeque<>();
   private String current;
 
-  /** The current start; null before the first greeting. */
+  /** The current process start; null before the first greeting. */
   String current() {
     return current;
   }
 
-  /** Judges a greeting's start, which becomes the current one unless it is outdated. */
+  /** Classifies the process start of a greeting and makes it current, unless it is outdated. */
   Verdict greeted(String processStart) {
     if (processStart.equals(current)) {
       return Verdict.CURRENT;
--- a/src/main/java/flintlead/gateway/upstream/RequestQueue.java
+++ b/src/main/java/flintlead/gateway/upstream/RequestQueue.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Requests that wait for a connection to one host, oldest first. Bounded. */
+/** Bounded queue of requests that wait for a connection to one host, oldest first. */
 final class RequestQueue {
 
   private final int capacity;
@@ -21,13 +21,13 @@
   private final LinkProofs proofs;
   private final Deque<Exchange> requests = new ArrayDeque<>();
 
-  /** Whether what is queued waits until the sockets were looked at. */
+  /** Whether {@link #sendAll} is scheduled to run after the next poll of the sockets. */
   private boolean awaitsPoll;
 
   /**
    * Creates an empty queue.
    *
-   * @param send sends a request to the host, or queues it
+   * @param send sends a request, or queues it
    * @param withdraw ends a request without an outcome
    */
   RequestQueue(
@@ -56,18 +56,18 @@
     requests.add(request);
   }
 
-  /** Removes the request; returns whether it was queued. */
+  /** Removes the request; returns whether it was queued or waited for a probe. */
   boolean remove(Exchange request) {
     return requests.remove(request) || proofs.remove(request);
   }
 
-  /** Drops all requests; nobody is told. */
+  /** Drops all requests without ending them. */
   void clear() {
     requests.clear();
     proofs.clear();
   }
 
-  /** Sends requests while a connection accepts them, and ends those that must never leave. */
+  /** Sends requests while a connection accepts them, and ends those that may not be sent at all. */
   void sendAll() {
     while (!requests.isEmpty()) {
       Connection best = connections.best();
@@ -87,7 +87,7 @@
     }
   }
 
-  /** Queues a request for which a connection is there, but not the knowledge that it may leave. */
+  /** Queues a request that has a connection but may not be sent yet, and runs the queue. */
   void sendOnceSeen(Exchange request, String hostName) {
     if (isFull()) {
       endLater(request, Outcome.FULL, "too many requests wait for a connection to " + hostName);
@@ -97,7 +97,7 @@
     }
   }
 
-  /** Whether the request may leave now. */
+  /** Whether the request may be sent now. */
   SendVerdict verdict(Exchange request) {
     PollClock polls = loop.polls();
     Moment clock = polls.readClock();
@@ -105,12 +105,12 @@
     return verdict == SendVerdict.SEND && request.isNewWork() ? proofs.maySend(clock) : verdict;
   }
 
-  /** The host answered a request. */
+  /** Records that the host answered a request. */
   void answered(Exchange request, Outcome outcome) {
     proofs.answered(request, outcome);
   }
 
-  /** What the sockets have received is looked at first. */
+  /** Runs the queue again once the next poll has delivered what the sockets have received. */
   private void sendAfterNextPoll() {
     if (!awaitsPoll) {
       awaitsPoll = true;
@@ -123,7 +123,9 @@
     }
   }
 
-  /** A connection has ended: dials another one if requests wait, or fails them. */
+  /**
+   * After a connection ended: dials if requests wait, and fails them if the host is unreachable.
+   */
   void redial(String hostName) {
     if (!requests.isEmpty() && !dialer.isStopped()) {
       dialer.dialNext();
@@ -131,7 +133,7 @@
     }
   }
 
-  /** Fails all requests if there is neither a connection nor an address to dial now. */
+  /** Fails all requests if there is no connection and no address may be dialled now. */
   void failIfUnreachable(String hostName) {
     if (connections.isEmpty() && !requests.isEmpty() && !dialer.mayDialNow()) {
       ExchangeResult unreachable =
@@ -141,13 +143,13 @@
     }
   }
 
-  /** The host has left the list: ends all requests, each in an event of its own. */
+  /** The host has left the list: ends all requests, each in a separate event. */
   void retire(Outcome outcome, String reason) {
     proofs.retire();
     removeAll().forEach(request -> endLater(request, outcome, reason));
   }
 
-  /** Ends a request, queued or not, in an event of its own. */
+  /** Ends a request in a separate event; does not remove it from the queue. */
   void endLater(Exchange request, Outcome outcome, String reason) {
     loop.scheduleAt(loop.now(), () -> request.end(ExchangeResult.unanswered(outcome, reason)));
   }
--- a/src/main/java/flintlead/gateway/upstream/RequestSequence.java
+++ b/src/main/java/flintlead/gateway/upstream/RequestSequence.java
@@ -3,11 +3,11 @@
 import java.util.Random;
 
 /**
- * Request ids of one connection, and which requests the host is known to have received.
+ * Issues the request ids of one connection, and tracks which requests the host has received.
  *
- * <p>An id is a sequence number followed by random bits: an answer under a wrong id, one off for
- * example, then matches no request instead of another one's. The host reads bytes in order, so an
- * answer to one request proves that all earlier ones have arrived.
+ * <p>An id is a sequence number followed by random bits. A response with a wrong id, for example
+ * one that is off by one, then matches no request instead of another one. The host reads bytes in
+ * order, so the response to one request proves that all earlier ones were received.
  */
 final class RequestSequence {
 
@@ -22,36 +22,36 @@
     this.random = random;
   }
 
-  /** The next id; draws {@value #RANDOM_BITS} random bits. */
+  /** Issues the next id, for a message whose receipt is not tracked; draws random bits. */
   long next() {
     return ++lastIssued << RANDOM_BITS | random.nextInt(1 << RANDOM_BITS);
   }
 
-  /** The next id, for a request that matters if it is not known to have arrived. */
+  /** Issues the next id, for a request that {@link #hasUnacknowledged} takes into account. */
   long nextRequest() {
     long id = next();
     lastRequest = lastIssued;
     return id;
   }
 
-  /** Whether the sequence number of the id was issued here; its random bits are not checked. */
+  /** Whether the id's sequence number was issued; the random bits are not checked. */
   boolean wasIssued(long id) {
     return id >= 1 && sequenceNumber(id) >= 1 && sequenceNumber(id) <= lastIssued;
   }
 
-  /** The host answered under the id; ignored if its sequence number was never issued. */
+  /** Records a response with the id; ignored if the sequence number was not issued yet. */
   void acknowledge(long id) {
     if (sequenceNumber(id) <= lastIssued) {
       acknowledgedUpTo = Math.max(acknowledgedUpTo, sequenceNumber(id));
     }
   }
 
-  /** Whether the request is known to have arrived; otherwise a kernel may still send it. */
+  /** Whether the host has received the request; if not, a kernel may still send it. */
   boolean isAcknowledged(long id) {
     return sequenceNumber(id) <= acknowledgedUpTo;
   }
 
-  /** Whether a request was sent that is not known to have arrived. */
+  /** Whether neither the last request nor a message sent after it has been answered. */
   boolean hasUnacknowledged() {
     return lastRequest > acknowledgedUpTo;
   }
--- a/src/main/java/flintlead/gateway/upstream/UpstreamContext.java
+++ b/src/main/java/flintlead/gateway/upstream/UpstreamContext.java
@@ -9,17 +9,17 @@
 import org.slf4j.Logger;
 
 /**
- * What all host links of one gateway share.
+ * Dependencies shared by all host links of one gateway.
  *
- * @param gatewayName the name that the gateway gives in its greeting
- * @param loop the gateway's event loop; everything in this package runs on it
+ * @param gatewayName the gateway's name in its greetings
+ * @param loop the gateway's event loop, on which all code of this package runs
  * @param transport opens connections
  * @param reader parses the hosts' messages
- * @param limits bounds of connections and queues
+ * @param limits limits of connections and queues
  * @param budget limits the rate of new connections
  * @param quota the connections to all hosts together
- * @param guard decides at the moment of writing whether new work may leave
- * @param random drawn from for request ids and backoff
+ * @param guard decides, when a request is about to be written, whether new work may be sent
+ * @param random source of random bits for request ids and backoff
  * @param log the gateway's log
  */
 public record UpstreamContext(
--- a/src/main/java/flintlead/gateway/upstream/UpstreamLimits.java
+++ b/src/main/java/flintlead/gateway/upstream/UpstreamLimits.java
@@ -5,18 +5,21 @@
 /**
  * Limits of the connections to hosts.
  *
- * @param connectionsPerHost open to one host on its best address; one more on each other address
- * @param totalConnections open to all hosts together
- * @param connectsPerSecond new connections a second, to all hosts together
- * @param requestsPerConnection requests on one connection
- * @param pendingRequests requests that wait for a connection to one host; more end as full, unsent
- * @param unsentBytes bytes written to a connection and not taken by the kernel, beyond which no
- *     more is written
- * @param frameBytes bytes of one answer
- * @param connectTimeout for a connection to open and the host to greet
- * @param writeStallTimeout how long a host may leave a connection's bytes unread before the
- *     connection fails
- * @param idleTimeout how long a connection may carry nothing before it is closed
+ * @param connectionsPerHost connections to one address of a host; all but the first are opened only
+ *     under load
+ * @param totalConnections connections to all hosts together
+ * @param connectsPerSecond new connections per second to all hosts together
+ * @param requestsPerConnection requests in flight on one connection
+ * @param pendingRequests requests that wait for a connection to one host; further requests end
+ *     unsent with outcome {@code FULL}
+ * @param unsentBytes bytes written to a connection but not yet accepted by the kernel; from this
+ *     many on, no further request or ping is written
+ * @param frameBytes bytes of one message from a host
+ * @param connectTimeout how long a connection may take to open and the host to greet; also how long
+ *     a probe may take
+ * @param writeStallTimeout how long {@code unsentBytes} may be reached before the connection fails,
+ *     because the host does not read
+ * @param idleTimeout how long a connection may be idle before it is closed
  */
 public record UpstreamLimits(
     int connectionsPerHost,
@@ -30,7 +33,7 @@
     Span writeStallTimeout,
     Span idleTimeout) {
 
-  /** The limits that a configuration may leave out. */
+  /** Default values, for limits that a configuration does not set. */
   public static final UpstreamLimits DEFAULTS =
       new UpstreamLimits(
           2,
@@ -56,7 +59,7 @@
         || connectTimeout.micros() < 1
         || writeStallTimeout.micros() < 1
         || idleTimeout.micros() < 1) {
-      throw new IllegalArgumentException("every bound must be above zero");
+      throw new IllegalArgumentException("every upstream limit must be above zero");
     }
   }
 }
--- a/src/main/java/flintlead/gateway/upstream/WriteStall.java
+++ b/src/main/java/flintlead/gateway/upstream/WriteStall.java
@@ -3,36 +3,36 @@
 import flintlead.time.Moment;
 import flintlead.transport.loop.Stream;
 
-/** Notices a host that does not read: more bytes unsent on a connection than the limit. */
+/** Detects a host that does not read: a connection's unsent bytes stay at or above the limit. */
 final class WriteStall {
 
   private final UpstreamLimits limits;
 
-  /** Since when there are more bytes unsent than the limit; null while there are not. */
+  /** Since when the unsent bytes have reached the limit; null while they are below it. */
   private Moment since;
 
   WriteStall(UpstreamLimits limits) {
     this.limits = limits;
   }
 
-  /** Whether there are too many unsent bytes to write more. */
+  /** Whether the unsent bytes have reached the limit, so that no more may be written. */
   boolean isStalled(Stream stream) {
     return stream.pendingBytes() >= limits.unsentBytes();
   }
 
-  /** Something was written. */
+  /** Called after each request was written. */
   void written(Stream stream, Moment now) {
     if (since == null && isStalled(stream)) {
       since = now;
     }
   }
 
-  /** All that was written has been handed to the kernel. */
+  /** Called when the kernel has accepted all written bytes. */
   void drained() {
     since = null;
   }
 
-  /** Whether the stall has lasted for longer than the limit. */
+  /** Whether the stall has lasted longer than the write stall timeout. */
   boolean hasTimedOut(Stream stream, Moment now) {
     if (since != null && !isStalled(stream)) {
       since = null;
--- a/src/main/java/flintlead/gateway/upstream/package-info.java
+++ b/src/main/java/flintlead/gateway/upstream/package-info.java
@@ -1,12 +1,12 @@
 /**
- * The link to one host: connections opened as needed, requests and answers on them, and what the
- * end of each says of whether it can have run. Knows the hosts' protocol; decides nothing about
- * invocations.
+ * The link to one host. Opens connections as needed, sends requests, matches responses to them, and
+ * reports with the end of each request whether the host can have run it. Implements the hosts'
+ * protocol; makes no decisions about invocations.
  *
- * <p>{@code HostLink} takes requests; {@code Dialer} opens connections, {@code ConnectionSet}
- * chooses among them, {@code LivenessMonitor} looks after their heartbeats, {@code RequestQueue}
- * and {@code OrphanedRequests} keep requests that have no connection yet or none any more. {@code
- * Connection} speaks the protocol; its states and their transitions are in {@code ConnectionState},
- * those of a request in {@code Exchange}.
+ * <p>{@code HostLink} accepts requests. {@code Dialer} opens connections, {@code ConnectionSet}
+ * selects among them, and {@code LivenessMonitor} checks their heartbeats. {@code RequestQueue}
+ * holds requests that have no connection yet, {@code OrphanedRequests} those that lost theirs.
+ * {@code Connection} implements the protocol; {@code ConnectionState} lists its states and
+ * transitions, {@code Exchange} those of a request.
  */
 package flintlead.gateway.upstream;
