--- a/src/test/java/flintlead/gateway/ScriptedHost.java
+++ b/src/test/java/flintlead/gateway/ScriptedHost.java
@@ -22,48 +22,48 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 
-/** A host that the test scripts: requests that reach it wait in a queue until the test answers. */
+/** A host controlled by the test: received requests wait in a queue until the test answers. */
 public final class ScriptedHost {
 
   private final NettyEventLoop loop;
 
-  /** How long its thread stands still right after it has reset a connection. */
+  /** How long the host's event loop is blocked 1 ms after the host has reset a connection. */
   volatile long standstillAfterResetNanos;
 
   private final MessageReader reader = new MessageReader();
 
-  /** The name in the host list. */
+  /** The host's name in the host list. */
   public final String name;
 
-  /** The name that it gives in greetings. */
+  /** The host's name in its greetings. */
   public volatile String claimedName;
 
-  /** Which start of its process it claims in greetings. */
+  /** The process start in its greetings. */
   public volatile String processStart = "1";
 
-  /** The age of its process in greetings, in milliseconds. */
+  /** The process age in its greetings, in milliseconds. */
   public volatile long processAgeMs = 3_600_000;
 
-  /** Answers every run itself with its payload. */
+  /** Whether the host answers every request at once with the request's payload. */
   public volatile boolean echoes;
 
   /** Requests that the test has not taken yet. */
   public final BlockingQueue<ReceivedRequest> receivedRequests = new LinkedBlockingQueue<>();
 
-  /** The request ids that were cancelled. */
+  /** The ids of the requests that the gateway cancelled. */
   public final BlockingQueue<Long> cancels = new LinkedBlockingQueue<>();
 
-  /** The tokens of what was run, in order. */
+  /** The tokens of the received run requests, in order of receipt. */
   public final List<String> runTokens = new CopyOnWriteArrayList<>();
 
-  /** The functions of what ran, in its order. */
+  /** The functions of the received run requests, in order of receipt. */
   public final List<String> runFunctions = new CopyOnWriteArrayList<>();
 
   private final List<Stream> streams = new CopyOnWriteArrayList<>();
   private Transport.ListeningSocket listening;
   private Address address;
 
-  /** How one of its addresses behaves. */
+  /** The behaviour of one address of the host. */
   public enum Behaviour {
     GOOD,
     REFUSES,
@@ -74,12 +74,12 @@
     RESETS
   }
 
-  /** An address of it. */
+  /** An address of the host. */
   public final class Endpoint {
-    /** Where it listens. */
+    /** The address on which the endpoint listens. */
     public final Address address;
 
-    /** How it behaves from now on. */
+    /** The current behaviour; the test may change it at any time. */
     public volatile Behaviour behaviour;
 
     Endpoint(Address at, Behaviour first) throws IOException {
@@ -98,7 +98,7 @@
     }
   }
 
-  /** A host of one address, on a loop of its own. */
+  /** Creates a host with one address and its own event loop. */
   public ScriptedHost(String name, Address at) throws IOException {
     this.name = name;
     this.claimedName = name;
@@ -107,19 +107,19 @@
     listen();
   }
 
-  /** A host of several addresses on a loop of the test's. */
+  /** Creates a host for several addresses on an event loop of the test. */
   public ScriptedHost(String name, NettyEventLoop loop) {
     this.name = name;
     this.claimedName = name;
     this.loop = loop;
   }
 
-  /** One more address. */
+  /** Adds an address. */
   public Endpoint addEndpoint(Address at, Behaviour face) throws IOException {
     return new Endpoint(at, face);
   }
 
-  /** Listens, again after {@link #stop}. */
+  /** Starts to listen, at first or again after {@link #stop}. */
   public void listen() throws IOException {
     listening =
         loop.listen(
@@ -131,16 +131,16 @@
     address = listening.address();
   }
 
-  /** Its only address. */
+  /** The address of a host that has only one. */
   public Address address() {
     return address;
   }
 
-  /** The next run, load, unload or probe that reaches it. */
+  /** Waits up to 10 s for the next run, load, unload or probe request, and removes it. */
   public ReceivedRequest next() throws InterruptedException {
     ReceivedRequest next = receivedRequests.poll(10, TimeUnit.SECONDS);
     if (next == null) {
-      throw new AssertionError("nothing reached " + name);
+      throw new AssertionError("host " + name + " received no request within 10 s");
     }
     return next;
   }
@@ -155,34 +155,34 @@
                         MessageWriter.notification(stream.alloc().buffer(), method).finishLine())));
   }
 
-  /** Connections open to it. */
+  /** Number of open connections to the host. */
   public int openConnections() {
     return streams.size();
   }
 
-  /** Stops listening and breaks all connections. */
+  /** Stops listening and resets all connections. */
   public void stop() {
     listening.close();
     loop.execute(() -> streams.forEach(Stream::abort));
   }
 
-  /** Ends its loop. */
+  /** Closes the event loop. */
   public void close() {
     loop.close();
   }
 
-  /** One request that has reached the host. */
+  /** One request that the host has received. */
   public final class ReceivedRequest {
-    /** The connection that it came on. */
+    /** The connection on which the request was received. */
     public final Stream stream;
 
-    /** Its id there. */
+    /** The request's id on that connection. */
     public final MessageId id;
 
-    /** Its method. */
+    /** The request's JSON-RPC method. */
     public final String method;
 
-    /** Its parameters. */
+    /** The request's parameters. */
     public final JsonMembers params;
 
     ReceivedRequest(Stream stream, MessageId id, String method, JsonMembers params) {
@@ -205,12 +205,12 @@
       loop.execute(() -> stream.write(ok(id)));
     }
 
-    /** Answers under a wrong id. */
+    /** Answers with the payload under a wrong id. */
     public void answerUnder(long wrong) {
       loop.execute(() -> stream.write(ok(MessageId.of(wrong))));
     }
 
-    /** The answer and the end of the connection, in one read of the gateway's. */
+    /** Answers and closes, so that the gateway can see both in one read. */
     public void answerAndClose() {
       loop.execute(
           () -> {
@@ -219,7 +219,7 @@
           });
     }
 
-    /** Sends half an answer and closes. */
+    /** Sends the first half of a response and closes. */
     public void answerPartially() {
       loop.execute(
           () -> {
@@ -237,7 +237,7 @@
                   MessageWriter.error(stream.alloc().buffer(), id, code, "scripted").finishLine()));
     }
 
-    /** Breaks the connection. */
+    /** Resets the connection. */
     public void reset() {
       loop.execute(stream::abort);
     }
@@ -271,7 +271,7 @@
 
     @Override
     public void lineTooLong(int most) {
-      throw new AssertionError("a frame over " + most);
+      throw new AssertionError("the gateway sent a frame of more than " + most + " bytes");
     }
 
     @Override
@@ -328,7 +328,7 @@
         case SLOW ->
             loop.scheduleAfter(Span.ofMillis(300), () -> stream.write(request.ok(request.id)));
         case SILENT_READ -> {
-          // It was read, and that is all.
+          // The request was read but is never answered.
         }
         default -> {
           if (echoes) {
--- a/src/test/java/flintlead/gateway/upstream/ExchangeTest.java
+++ b/src/test/java/flintlead/gateway/upstream/ExchangeTest.java
@@ -28,7 +28,7 @@
 
         @Override
         protected void params(MessageWriter frame) {
-          throw new AssertionError("nothing is sent here");
+          throw new AssertionError("parameters were written, but these tests send no request");
         }
 
         @Override
--- a/src/test/java/flintlead/gateway/upstream/RequestSequenceTest.java
+++ b/src/test/java/flintlead/gateway/upstream/RequestSequenceTest.java
@@ -24,8 +24,8 @@
   void anIdThatWasNeverIssuedIsNoticed() {
     long first = ids.next();
     assertTrue(ids.wasIssued(first));
-    assertFalse(ids.wasIssued(first + ONE), "the next one");
-    assertFalse(ids.wasIssued(first - ONE), "the one before the first");
+    assertFalse(ids.wasIssued(first + ONE), "the id after the last issued one");
+    assertFalse(ids.wasIssued(first - ONE), "the id before the first issued one");
     assertFalse(ids.wasIssued(0));
     assertFalse(ids.wasIssued(-1));
   }
@@ -43,7 +43,9 @@
     ids.acknowledge(third);
     assertFalse(ids.hasUnacknowledged());
     ids.acknowledge(first);
-    assertTrue(ids.isAcknowledged(third), "an old answer takes nothing back");
+    assertTrue(
+        ids.isAcknowledged(third),
+        "a response to an earlier request must not revoke an acknowledgement");
   }
 
   @Test
