--- a/src/main/java/flintlead/gateway/upstream/LinkProofs.java
+++ b/src/main/java/flintlead/gateway/upstream/HostLeaseGate.java
@@ -20,7 +20,7 @@
  * host's responses prove, and holds requests until a probe has renewed the lease. At most one probe
  * is in progress.
  */
-final class LinkProofs {
+final class HostLeaseGate {
 
   private final long host;
   private final UpstreamContext context;
@@ -39,7 +39,7 @@
    * @param send sends a request, or queues it
    * @param withdraw ends a request without an outcome
    */
-  LinkProofs(
+  HostLeaseGate(
       String hostName,
       UpstreamContext context,
       Consumer<Exchange> send,
--- a/src/main/java/flintlead/gateway/upstream/RequestQueue.java
+++ b/src/main/java/flintlead/gateway/upstream/RequestQueue.java
@@ -18,7 +18,7 @@
   private final EventExecutor loop;
   private final ConnectionSet connections;
   private final Dialer dialer;
-  private final LinkProofs proofs;
+  private final HostLeaseGate leaseGate;
   private final Deque<Exchange> requests = new ArrayDeque<>();
 
   /** Whether {@link #sendAll} is scheduled to run after the next poll of the sockets. */
@@ -41,11 +41,11 @@
     this.loop = context.loop();
     this.connections = connections;
     this.dialer = dialer;
-    this.proofs = new LinkProofs(hostName, context, send, withdraw);
+    this.leaseGate = new HostLeaseGate(hostName, context, send, withdraw);
   }
 
   boolean isFull() {
-    return requests.size() + proofs.waiting() >= capacity;
+    return requests.size() + leaseGate.waiting() >= capacity;
   }
 
   boolean isEmpty() {
@@ -58,13 +58,13 @@
 
   /** Removes the request; returns whether it was queued or waited for a probe. */
   boolean remove(Exchange request) {
-    return requests.remove(request) || proofs.remove(request);
+    return requests.remove(request) || leaseGate.remove(request);
   }
 
   /** Drops all requests without ending them. */
   void clear() {
     requests.clear();
-    proofs.clear();
+    leaseGate.clear();
   }
 
   /** Sends requests while a connection accepts them, and ends those that may not be sent at all. */
@@ -80,7 +80,7 @@
           sendAfterNextPoll();
           return;
         }
-        case PROVE_FIRST, UNPROVEN -> proofs.await(requests.poll());
+        case PROVE_FIRST, UNPROVEN -> leaseGate.await(requests.poll());
         default ->
             endLater(requests.poll(), Outcome.WITHDRAWN, "its client no longer waits for it");
       }
@@ -102,12 +102,12 @@
     PollClock polls = loop.polls();
     Moment clock = polls.readClock();
     SendVerdict verdict = request.maySend(polls.deliveredUpTo(), clock);
-    return verdict == SendVerdict.SEND && request.isNewWork() ? proofs.maySend(clock) : verdict;
+    return verdict == SendVerdict.SEND && request.isNewWork() ? leaseGate.maySend(clock) : verdict;
   }
 
   /** Records that the host answered a request. */
   void answered(Exchange request, Outcome outcome) {
-    proofs.answered(request, outcome);
+    leaseGate.answered(request, outcome);
   }
 
   /** Runs the queue again once the next poll has delivered what the sockets have received. */
@@ -145,7 +145,7 @@
 
   /** The host has left the list: ends all requests, each in a separate event. */
   void retire(Outcome outcome, String reason) {
-    proofs.retire();
+    leaseGate.retire();
     removeAll().forEach(request -> endLater(request, outcome, reason));
   }
 
@@ -156,7 +156,7 @@
 
   private List<Exchange> removeAll() {
     List<Exchange> removed = new ArrayList<>(requests);
-    removed.addAll(proofs.takeWaiting());
+    removed.addAll(leaseGate.takeWaiting());
     requests.clear();
     return removed;
   }
