--- a/src/main/java/flintlead/gateway/upstream/Connection.java
+++ b/src/main/java/flintlead/gateway/upstream/Connection.java
@@ -87,7 +87,7 @@
   }
 
   /** Whether the connection is being opened, or is open and takes new requests. */
-  boolean isCurrent() {
+  boolean isConnectingOrReady() {
     return state == ConnectionState.CONNECTING || state == ConnectionState.READY;
   }
 
@@ -128,7 +128,7 @@
   // ---- heartbeat ----
 
   /** Whether a response is due: to the greeting, a ping or a request. */
-  boolean awaitsAnything() {
+  boolean isAwaitingHost() {
     return state != ConnectionState.CLOSED
         && (!inFlight.isEmpty() || heartbeat.isPinging() || isConnecting());
   }
@@ -138,8 +138,8 @@
     return heartbeat.silentSince();
   }
 
-  boolean heardAfter(Moment moment) {
-    return heartbeat.heardAfter(moment);
+  boolean receivedAfter(Moment moment) {
+    return heartbeat.receivedAfter(moment);
   }
 
   /** Sends a ping, unless one is unanswered or too many bytes are unsent. */
@@ -195,7 +195,7 @@
   }
 
   /** Whether the host has received the request; if not, a kernel may still send or resend it. */
-  boolean hasArrived(Exchange exchange) {
+  boolean isAcknowledged(Exchange exchange) {
     return ids.isAcknowledged(exchange.requestId());
   }
 
--- a/src/main/java/flintlead/gateway/upstream/ConnectionHeartbeat.java
+++ b/src/main/java/flintlead/gateway/upstream/ConnectionHeartbeat.java
@@ -8,7 +8,7 @@
 
   private static final long NO_PING = -1;
 
-  private final Heartbeat pulse = new Heartbeat();
+  private final Heartbeat heartbeat = new Heartbeat();
   private long pingId = NO_PING;
   private boolean suspect;
 
@@ -24,13 +24,13 @@
 
   /** Records that a request was sent, to which a response is now due. */
   void requestSent(Moment now) {
-    pulse.requestSent(now);
+    heartbeat.requestSent(now);
   }
 
   /** Records that a ping with the given id was sent. */
   void pingSent(long id, Moment now) {
     pingId = id;
-    pulse.pingSent(now);
+    heartbeat.pingSent(now);
   }
 
   /** Records that any response was received: the host is no longer suspect. */
@@ -40,7 +40,7 @@
 
   /** Records that the host answered a request or the greeting. */
   void responseReceived(Moment now) {
-    pulse.received(now);
+    heartbeat.received(now);
   }
 
   /** Consumes the response if it answers the unanswered ping; returns whether it does. */
@@ -49,7 +49,7 @@
       return false;
     }
     pingId = NO_PING;
-    pulse.pongReceived(now);
+    heartbeat.pongReceived(now);
     return true;
   }
 
@@ -60,7 +60,7 @@
    * @return whether a ping is due
    */
   boolean check(Moment now, boolean awaiting) {
-    Heartbeat.Verdict verdict = pulse.check(now, awaiting);
+    Heartbeat.Verdict verdict = heartbeat.check(now, awaiting);
     suspect = verdict == Heartbeat.Verdict.SUSPECT;
     if (verdict != Heartbeat.Verdict.SEND_PING) {
       return false;
@@ -71,11 +71,11 @@
 
   /** Since when a response is due and none was received; null if none is due. */
   Moment silentSince() {
-    return pulse.silentSince();
+    return heartbeat.silentSince();
   }
 
   /** Whether anything was received on this connection after the moment; false for null. */
-  boolean heardAfter(Moment moment) {
-    return moment != null && pulse.lastReceivedAt().isAfter(moment);
+  boolean receivedAfter(Moment moment) {
+    return moment != null && heartbeat.lastReceivedAt().isAfter(moment);
   }
 }
--- a/src/main/java/flintlead/gateway/upstream/ConnectionSet.java
+++ b/src/main/java/flintlead/gateway/upstream/ConnectionSet.java
@@ -84,7 +84,7 @@
   List<Address> addressesInUse() {
     List<Address> inUse = new ArrayList<>(connections.size());
     for (Connection connection : connections) {
-      if (connection.isCurrent()) {
+      if (connection.isConnectingOrReady()) {
         inUse.add(connection.address());
       }
     }
--- a/src/main/java/flintlead/gateway/upstream/Dialer.java
+++ b/src/main/java/flintlead/gateway/upstream/Dialer.java
@@ -59,7 +59,7 @@
   void dialBeside(Connection crowded) {
     int sameAddress = 0;
     for (Connection connection : connections) {
-      if (connection.isCurrent() && connection.address().equals(crowded.address())) {
+      if (connection.isConnectingOrReady() && connection.address().equals(crowded.address())) {
         sameAddress++;
         if (connection.isConnecting()) {
           return;
--- a/src/main/java/flintlead/gateway/upstream/HostLink.java
+++ b/src/main/java/flintlead/gateway/upstream/HostLink.java
@@ -143,7 +143,7 @@
             ExchangeResult.unanswered(
                 Outcome.WITHDRAWN, "its time was over before there was a connection"));
       }
-    } else if (!exchange.connection().hasArrived(exchange)) {
+    } else if (!exchange.connection().isAcknowledged(exchange)) {
       exchange.connection().reset("what was sent can't be shown to have arrived in its time");
     }
   }
@@ -167,7 +167,7 @@
   }
 
   /** Whether requests wait for a connection, or for a sign of life after theirs was lost. */
-  boolean awaitsConnection() {
+  boolean hasWaitingRequests() {
     return !queue.isEmpty() || !orphans.isEmpty();
   }
 
--- a/src/main/java/flintlead/gateway/upstream/LivenessMonitor.java
+++ b/src/main/java/flintlead/gateway/upstream/LivenessMonitor.java
@@ -38,16 +38,16 @@
           try {
             checkNow();
           } finally {
-            if (link.awaitsConnection() || awaitsAnything()) {
+            if (link.hasWaitingRequests() || isAwaitingHost()) {
               schedule();
             }
           }
         });
   }
 
-  private boolean awaitsAnything() {
+  private boolean isAwaitingHost() {
     for (Connection connection : connections) {
-      if (connection.awaitsAnything()) {
+      if (connection.isAwaitingHost()) {
         return true;
       }
     }
@@ -59,7 +59,7 @@
     if (dialer.isStopped()) {
       return;
     }
-    if (link.awaitsConnection()) {
+    if (link.hasWaitingRequests()) {
       dialer.dialNext();
       link.failQueuedIfUnreachable();
     }
@@ -80,7 +80,7 @@
     link.markSuspect(suspect.address());
     for (Connection other : connections) {
       if (other != suspect && other.isReady() && !other.isSuspect()) {
-        if (other.heardAfter(suspect.silentSince())) {
+        if (other.receivedAfter(suspect.silentSince())) {
           link.leaveSilent(suspect);
           return;
         }
--- a/src/main/java/flintlead/gateway/upstream/WriteStall.java
+++ b/src/main/java/flintlead/gateway/upstream/WriteStall.java
@@ -9,7 +9,7 @@
   private final UpstreamLimits limits;
 
   /** Since when the unsent bytes have reached the limit; null while they are below it. */
-  private Moment since;
+  private Moment stalledSince;
 
   WriteStall(UpstreamLimits limits) {
     this.limits = limits;
@@ -22,21 +22,21 @@
 
   /** Called after each request was written. */
   void written(Stream stream, Moment now) {
-    if (since == null && isStalled(stream)) {
-      since = now;
+    if (stalledSince == null && isStalled(stream)) {
+      stalledSince = now;
     }
   }
 
   /** Called when the kernel has accepted all written bytes. */
   void drained() {
-    since = null;
+    stalledSince = null;
   }
 
   /** Whether the stall has lasted longer than the write stall timeout. */
   boolean hasTimedOut(Stream stream, Moment now) {
-    if (since != null && !isStalled(stream)) {
-      since = null;
+    if (stalledSince != null && !isStalled(stream)) {
+      stalledSince = null;
     }
-    return since != null && now.since(since).isLongerThan(limits.writeStallTimeout());
+    return stalledSince != null && now.since(stalledSince).isLongerThan(limits.writeStallTimeout());
   }
 }
