--- a/src/main/java/flintlead/gateway/upstream/Dialer.java
+++ b/src/main/java/flintlead/gateway/upstream/Dialer.java
@@ -56,7 +56,7 @@
    * Opens another connection to the address of a crowded one, unless one is being opened there or
    * the address has {@link UpstreamLimits#connectionsPerHost} connections.
    */
-  void dialBeside(Connection crowded) {
+  void dialSameAddress(Connection crowded) {
     int sameAddress = 0;
     for (Connection connection : connections) {
       if (connection.isConnectingOrReady() && connection.address().equals(crowded.address())) {
@@ -72,7 +72,7 @@
   }
 
   /** Dials an address that ranks above the serving one, if one may be retried now. */
-  void dialPreferredTo(Connection serving) {
+  void dialBetterAddress(Connection serving) {
     Address preferred =
         addresses.betterCandidate(serving.address(), loop.now(), connections.addressesInUse());
     if (preferred != null) {
--- a/src/main/java/flintlead/gateway/upstream/HostLink.java
+++ b/src/main/java/flintlead/gateway/upstream/HostLink.java
@@ -29,7 +29,7 @@
   }
 
   /** With more requests than this on the best connection, another one is opened to its address. */
-  private static final int CROWDED = 64;
+  private static final int REQUESTS_BEFORE_ADDITIONAL_DIAL = 64;
 
   /** How long to wait for a sign of life after a lost connection before the host counts as lost. */
   private static final Span ORPHAN_TIMEOUT = Span.ofMillis(150);
@@ -91,11 +91,11 @@
   public void run(Exchange exchange) {
     Connection best = connections.best();
     if (best != null && queue.verdict(exchange) != SendVerdict.SEND) {
-      queue.sendOnceSeen(exchange, spec.name());
+      queue.queueUntilAllowed(exchange, spec.name());
     } else if (best != null) {
       best.send(exchange);
-      if (best.requestsInFlight() > CROWDED) {
-        dialer.dialBeside(best);
+      if (best.requestsInFlight() > REQUESTS_BEFORE_ADDITIONAL_DIAL) {
+        dialer.dialSameAddress(best);
       }
       monitor.schedule();
     } else if (dialer.isStopped()) {
@@ -182,7 +182,7 @@
   }
 
   /** Drains a silent connection of a host that answers elsewhere; idempotent requests end. */
-  void leaveSilent(Connection silent) {
+  void failOverFrom(Connection silent) {
     if (silent.isReady()) {
       // Logged once a connection: while it drains, it is not ready and this is skipped.
       context
@@ -309,7 +309,7 @@
     @Override
     public void connectionReady(Connection connection, Span processAge) {
       addresses.connected(connection.address(), loop.now());
-      abortDialsOfWorse(connection.address());
+      abortLowerRankedDials(connection.address());
       listener.hostGreeted(HostLink.this, process.current(), processAge);
       queue.sendAll();
       monitor.checkNow();
@@ -317,7 +317,7 @@
     }
 
     /** Aborts the pending dials to addresses that rank below the one that has connected. */
-    private void abortDialsOfWorse(Address winner) {
+    private void abortLowerRankedDials(Address winner) {
       for (Connection other : connections.snapshot()) {
         if (other.isConnecting()
             && addresses.state(winner) == AddressSelector.State.UP
--- a/src/main/java/flintlead/gateway/upstream/LivenessMonitor.java
+++ b/src/main/java/flintlead/gateway/upstream/LivenessMonitor.java
@@ -71,7 +71,7 @@
     }
     Connection serving = connections.best();
     if (serving != null) {
-      dialer.dialPreferredTo(serving);
+      dialer.dialBetterAddress(serving);
     }
   }
 
@@ -81,7 +81,7 @@
     for (Connection other : connections) {
       if (other != suspect && other.isReady() && !other.isSuspect()) {
         if (other.receivedAfter(suspect.silentSince())) {
-          link.leaveSilent(suspect);
+          link.failOverFrom(suspect);
           return;
         }
         other.ping();
--- a/src/main/java/flintlead/gateway/upstream/RequestQueue.java
+++ b/src/main/java/flintlead/gateway/upstream/RequestQueue.java
@@ -88,7 +88,7 @@
   }
 
   /** Queues a request that has a connection but may not be sent yet, and runs the queue. */
-  void sendOnceSeen(Exchange request, String hostName) {
+  void queueUntilAllowed(Exchange request, String hostName) {
     if (isFull()) {
       endLater(request, Outcome.FULL, "too many requests wait for a connection to " + hostName);
     } else {
