--- a/src/test/java/flintlead/gateway/upstream/ExchangeTest.java
+++ b/src/test/java/flintlead/gateway/upstream/ExchangeTest.java
@@ -38,14 +38,14 @@
       };
 
   @Test
-  void onlyTheFirstEndIsTold() {
+  void onlyTheFirstEndIsReported() {
     exchange.end(TIMEOUT);
     exchange.end(RESET);
     assertEquals(List.of(TIMEOUT), results);
   }
 
   @Test
-  void aWithdrawnRequestHasEndedAndTellsNothing() {
+  void aWithdrawnRequestEndsWithoutAReport() {
     exchange.markWithdrawn();
     exchange.end(RESET);
     assertTrue(exchange.hasEnded());
--- a/src/test/java/flintlead/gateway/upstream/RequestSequenceTest.java
+++ b/src/test/java/flintlead/gateway/upstream/RequestSequenceTest.java
@@ -21,7 +21,7 @@
   }
 
   @Test
-  void anIdThatWasNeverIssuedIsNoticed() {
+  void anIdThatWasNeverIssuedIsRecognised() {
     long first = ids.next();
     assertTrue(ids.wasIssued(first));
     assertFalse(ids.wasIssued(first + ONE), "the id after the last issued one");
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void anAnswerUnderAnIdOfTheFutureAcknowledgesNothing() {
+  void aResponseWithAnUnissuedIdAcknowledgesNothing() {
     long first = ids.nextRequest();
     ids.acknowledge(first + 5 * ONE);
     assertFalse(ids.isAcknowledged(first));
