--- a/src/main/java/flintlead/gateway/upstream/RequestQueue.java
+++ b/src/main/java/flintlead/gateway/upstream/RequestQueue.java
@@ -22,7 +22,7 @@
   private final Deque<Exchange> requests = new ArrayDeque<>();
 
   /** Whether {@link #sendAll} is scheduled to run after the next poll of the sockets. */
-  private boolean pollScheduled;
+  private boolean sendScheduled;
 
   /**
    * Creates an empty queue.
@@ -112,12 +112,12 @@
 
   /** Runs the queue again once the next poll has delivered what the sockets have received. */
   private void sendAfterNextPoll() {
-    if (!pollScheduled) {
-      pollScheduled = true;
+    if (!sendScheduled) {
+      sendScheduled = true;
       loop.polls()
           .afterNextPoll(
               () -> {
-                pollScheduled = false;
+                sendScheduled = false;
                 sendAll();
               });
     }
