--- a/src/main/java/flintlead/gateway/upstream/LivenessMonitor.java
+++ b/src/main/java/flintlead/gateway/upstream/LivenessMonitor.java
@@ -4,9 +4,9 @@
 import flintlead.transport.loop.EventExecutor;
 
 /**
- * Looks at the connections to one host every {@link #INTERVAL} while something is awaited: pings
- * those that are silent, leaves one that is silent while the host answers elsewhere, goes on with
- * staggered dials.
+ * Checks the connections to one host every {@link #INTERVAL} while a response or a connection is
+ * awaited. Pings on silent connections, fails over from a connection that is silent while the host
+ * answers on another one, and starts the next staggered dial.
  */
 final class LivenessMonitor {
 
@@ -25,7 +25,7 @@
     this.dialer = dialer;
   }
 
-  /** Schedules the next check, unless one is scheduled or the link is closed. */
+  /** Schedules the next check, unless one is scheduled or the dialer is stopped. */
   void schedule() {
     if (scheduled || dialer.isStopped()) {
       return;
@@ -38,28 +38,28 @@
           try {
             checkNow();
           } finally {
-            if (link.awaitsConnection() || awaitsAnything()) {
+            if (link.hasWaitingRequests() || isAwaitingHost()) {
               schedule();
             }
           }
         });
   }
 
-  private boolean awaitsAnything() {
+  private boolean isAwaitingHost() {
     for (Connection connection : connections) {
-      if (connection.awaitsAnything()) {
+      if (connection.isAwaitingHost()) {
         return true;
       }
     }
     return false;
   }
 
-  /** Checks all connections at once. */
+  /** Checks all connections now. */
   void checkNow() {
     if (dialer.isStopped()) {
       return;
     }
-    if (link.awaitsConnection()) {
+    if (link.hasWaitingRequests()) {
       dialer.dialNext();
       link.failQueuedIfUnreachable();
     }
@@ -71,17 +71,17 @@
     }
     Connection serving = connections.best();
     if (serving != null) {
-      dialer.dialPreferredTo(serving);
+      dialer.dialBetterAddress(serving);
     }
   }
 
-  /** Leaves the suspect connection if the host answers on another one; else seeks another one. */
+  /** Fails over if the host answers on another connection; otherwise pings there and dials. */
   private void replaceSuspect(Connection suspect) {
     link.markSuspect(suspect.address());
     for (Connection other : connections) {
       if (other != suspect && other.isReady() && !other.isSuspect()) {
-        if (other.heardAfter(suspect.silentSince())) {
-          link.leaveSilent(suspect);
+        if (other.receivedAfter(suspect.silentSince())) {
+          link.failOverFrom(suspect);
           return;
         }
         other.ping();
--- a/src/test/java/flintlead/gateway/upstream/ExchangeTest.java
+++ b/src/test/java/flintlead/gateway/upstream/ExchangeTest.java
@@ -28,7 +28,7 @@
 
         @Override
         protected void params(MessageWriter frame) {
-          throw new AssertionError("nothing is sent here");
+          throw new AssertionError("parameters were written, but these tests send no request");
         }
 
         @Override
@@ -38,14 +38,14 @@
       };
 
   @Test
-  void onlyTheFirstEndIsTold() {
+  void onlyTheFirstEndIsReported() {
     exchange.end(TIMEOUT);
     exchange.end(RESET);
     assertEquals(List.of(TIMEOUT), results);
   }
 
   @Test
-  void aWithdrawnRequestHasEndedAndTellsNothing() {
+  void aWithdrawnRequestEndsWithoutAReport() {
     exchange.markWithdrawn();
     exchange.end(RESET);
     assertTrue(exchange.hasEnded());
--- a/src/test/java/flintlead/gateway/upstream/RequestSequenceTest.java
+++ b/src/test/java/flintlead/gateway/upstream/RequestSequenceTest.java
@@ -21,11 +21,11 @@
   }
 
   @Test
-  void anIdThatWasNeverIssuedIsNoticed() {
+  void anIdThatWasNeverIssuedIsRecognised() {
     long first = ids.next();
     assertTrue(ids.wasIssued(first));
-    assertFalse(ids.wasIssued(first + ONE), "the next one");
-    assertFalse(ids.wasIssued(first - ONE), "the one before the first");
+    assertFalse(ids.wasIssued(first + ONE), "the id after the last issued one");
+    assertFalse(ids.wasIssued(first - ONE), "the id before the first issued one");
     assertFalse(ids.wasIssued(0));
     assertFalse(ids.wasIssued(-1));
   }
@@ -43,11 +43,13 @@
     ids.acknowledge(third);
     assertFalse(ids.hasUnacknowledged());
     ids.acknowledge(first);
-    assertTrue(ids.isAcknowledged(third), "an old answer takes nothing back");
+    assertTrue(
+        ids.isAcknowledged(third),
+        "a response to an earlier request must not revoke an acknowledgement");
   }
 
   @Test
-  void anAnswerUnderAnIdOfTheFutureAcknowledgesNothing() {
+  void aResponseWithAnUnissuedIdAcknowledgesNothing() {
     long first = ids.nextRequest();
     ids.acknowledge(first + 5 * ONE);
     assertFalse(ids.isAcknowledged(first));
