--- a/src/main/java/flintlead/gateway/LeaseLog.java
+++ b/src/main/java/flintlead/gateway/LeaseLog.java
@@ -1,6 +1,6 @@
 package flintlead.gateway;
 
-import flintlead.scheduling.lease.HostProof;
+import flintlead.scheduling.lease.HostEvidence;
 import flintlead.scheduling.lease.LeaseListener;
 import flintlead.time.Span;
 import java.util.function.LongFunction;
@@ -37,7 +37,7 @@
   }
 
   @Override
-  public void hostChanged(long host, boolean usable, HostProof by) {
+  public void hostChanged(long host, boolean usable, HostEvidence by) {
     log.atInfo()
         .addKeyValue("host", hostNames.apply(host))
         .addKeyValue("usable", usable)
--- a/src/main/java/flintlead/gateway/upstream/HostLeaseGate.java
+++ b/src/main/java/flintlead/gateway/upstream/HostLeaseGate.java
@@ -5,7 +5,7 @@
 import flintlead.routing.guard.SendVerdict;
 import flintlead.scheduling.api.Outcome;
 import flintlead.scheduling.lease.HostLeases;
-import flintlead.scheduling.lease.HostProof;
+import flintlead.scheduling.lease.HostEvidence;
 import flintlead.scheduling.lease.RefusalReason;
 import flintlead.time.Moment;
 import flintlead.transport.jsonrpc.MessageWriter;
@@ -64,7 +64,7 @@
       return;
     }
     if (outcome == Outcome.OK) {
-      leases.proven(host, exchange.sentAt(), HostProof.SERVED, loop.now());
+      leases.proven(host, exchange.sentAt(), HostEvidence.SERVED, loop.now());
     } else if (outcome == Outcome.FULL) {
       leases.turnedAway(host, loop.now());
     }
@@ -119,18 +119,18 @@
   private void timeOut(Probe late) {
     if (!late.hasEnded()) {
       withdraw.accept(late);
-      probeEnded(late, HostProof.PROBE_UNANSWERED, RefusalReason.PROBE_UNANSWERED);
+      probeEnded(late, HostEvidence.PROBE_UNANSWERED, RefusalReason.PROBE_UNANSWERED);
     }
   }
 
-  private void probeEnded(Probe ended, HostProof result, RefusalReason reason) {
+  private void probeEnded(Probe ended, HostEvidence result, RefusalReason reason) {
     if (probe != ended) {
       return;
     }
     probe = null;
     Moment askedAt = ended.sentAt() == null ? loop.now() : ended.sentAt();
     leases.probeEnded(host, askedAt, result, loop.now());
-    if (result == HostProof.PROBE) {
+    if (result == HostEvidence.PROBE) {
       takeWaiting().forEach(send);
     } else {
       leases.refused(reason);
@@ -161,12 +161,12 @@
     @Override
     protected void ended(ExchangeResult result) {
       switch (result.outcome()) {
-        case OK -> probeEnded(this, HostProof.PROBE, null);
+        case OK -> probeEnded(this, HostEvidence.PROBE, null);
         case CONNECT_FAILED, RESET ->
-            probeEnded(this, HostProof.UNREACHABLE, RefusalReason.UNREACHABLE);
+            probeEnded(this, HostEvidence.UNREACHABLE, RefusalReason.UNREACHABLE);
         case CONNECTION_LOST, WITHDRAWN ->
-            probeEnded(this, HostProof.PROBE_UNANSWERED, RefusalReason.PROBE_UNANSWERED);
-        default -> probeEnded(this, HostProof.PROBE_DENIED, RefusalReason.PROBE_DENIED);
+            probeEnded(this, HostEvidence.PROBE_UNANSWERED, RefusalReason.PROBE_UNANSWERED);
+        default -> probeEnded(this, HostEvidence.PROBE_DENIED, RefusalReason.PROBE_DENIED);
       }
     }
   }
--- a/src/main/java/flintlead/platform/upstream/HostLeaseRenewal.java
+++ b/src/main/java/flintlead/platform/upstream/HostLeaseRenewal.java
@@ -4,7 +4,7 @@
 import flintlead.routing.guard.SendVerdict;
 import flintlead.scheduling.api.Outcome;
 import flintlead.scheduling.lease.HostLeases;
-import flintlead.scheduling.lease.HostProof;
+import flintlead.scheduling.lease.HostEvidence;
 import flintlead.scheduling.lease.RefusalReason;
 import flintlead.time.Moment;
 import io.netty.buffer.ByteBuf;
@@ -69,7 +69,7 @@
       return;
     }
     if (outcome == Outcome.OK) {
-      leases.proven(host, sentAt, HostProof.SERVED, pool.now());
+      leases.proven(host, sentAt, HostEvidence.SERVED, pool.now());
     } else if (outcome == Outcome.FULL) {
       leases.turnedAway(host, pool.now());
     }
@@ -132,17 +132,17 @@
   private void timeOut(Probe late) {
     if (!late.isOver()) {
       pool.withdraw(late);
-      probeEnded(late, HostProof.PROBE_UNANSWERED, RefusalReason.PROBE_UNANSWERED);
+      probeEnded(late, HostEvidence.PROBE_UNANSWERED, RefusalReason.PROBE_UNANSWERED);
     }
   }
 
-  private void probeEnded(Probe ended, HostProof result, RefusalReason reason) {
+  private void probeEnded(Probe ended, HostEvidence result, RefusalReason reason) {
     if (probe != ended) {
       return;
     }
     probe = null;
     leases.probeEnded(host, ended.sentAtOrNow(), result, pool.now());
-    if (result == HostProof.PROBE) {
+    if (result == HostEvidence.PROBE) {
       pool.sendAfterProbe(removeWaiting());
     } else {
       leases.refused(reason);
@@ -187,12 +187,12 @@
     @Override
     protected void ended(Outcome outcome, ResponseFields fields, ByteBuf body) {
       switch (outcome) {
-        case OK -> probeEnded(this, HostProof.PROBE, null);
+        case OK -> probeEnded(this, HostEvidence.PROBE, null);
         case CONNECT_FAILED, RESET ->
-            probeEnded(this, HostProof.UNREACHABLE, RefusalReason.UNREACHABLE);
+            probeEnded(this, HostEvidence.UNREACHABLE, RefusalReason.UNREACHABLE);
         case CONNECTION_LOST, WITHDRAWN ->
-            probeEnded(this, HostProof.PROBE_UNANSWERED, RefusalReason.PROBE_UNANSWERED);
-        default -> probeEnded(this, HostProof.PROBE_DENIED, RefusalReason.PROBE_DENIED);
+            probeEnded(this, HostEvidence.PROBE_UNANSWERED, RefusalReason.PROBE_UNANSWERED);
+        default -> probeEnded(this, HostEvidence.PROBE_DENIED, RefusalReason.PROBE_DENIED);
       }
     }
   }
--- a/src/main/java/flintlead/scheduling/lease/HostProof.java
+++ b/src/main/java/flintlead/scheduling/lease/HostEvidence.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** Evidence that a host accepts new work, or that it may not. */
-public enum HostProof {
+public enum HostEvidence {
   /** The host list is current and lists the host as ready. */
   LIST,
   /** The host answered a probe: it is alive and not draining. */
--- a/src/main/java/flintlead/scheduling/lease/HostLeases.java
+++ b/src/main/java/flintlead/scheduling/lease/HostLeases.java
@@ -146,7 +146,7 @@
    * @param askedAt when the request of the proof was sent
    * @param by what the proof is
    */
-  public void proven(long host, Moment askedAt, HostProof by, Moment now) {
+  public void proven(long host, Moment askedAt, HostEvidence by, Moment now) {
     HostLease lease = lease(host);
     if (lease.renew(askedAt)) {
       reportIfChanged(host, lease, true, by, now);
@@ -157,7 +157,7 @@
   public void turnedAway(long host, Moment now) {
     HostLease lease = lease(host);
     lease.end();
-    reportIfChanged(host, lease, false, HostProof.TURNED_AWAY, now);
+    reportIfChanged(host, lease, false, HostEvidence.TURNED_AWAY, now);
   }
 
   /**
@@ -167,7 +167,7 @@
   public void unreachable(long host, Moment now) {
     HostLease lease = lease(host);
     lease.markUnreachable(now);
-    reportIfChanged(host, lease, false, HostProof.UNREACHABLE, now);
+    reportIfChanged(host, lease, false, HostEvidence.UNREACHABLE, now);
   }
 
   /**
@@ -178,7 +178,7 @@
   }
 
   private void reportIfChanged(
-      long host, HostLease lease, boolean usable, HostProof by, Moment now) {
+      long host, HostLease lease, boolean usable, HostEvidence by, Moment now) {
     if (!isListCurrent(now) && lease.recordUsable(usable)) {
       listener.hostChanged(host, usable, by);
     }
@@ -205,14 +205,14 @@
    * Records the end of a probe.
    *
    * @param askedAt when the probe was sent
-   * @param result {@link HostProof#PROBE} if the host answered as alive, otherwise why nothing was
+   * @param result {@link HostEvidence#PROBE} if the host answered as alive, otherwise why nothing was
    *     proven
    */
-  public void probeEnded(long host, Moment askedAt, HostProof result, Moment now) {
+  public void probeEnded(long host, Moment askedAt, HostEvidence result, Moment now) {
     HostLease lease = lease(host);
     lease.probeEnded();
-    if (result == HostProof.PROBE) {
-      proven(host, askedAt, HostProof.PROBE, now);
+    if (result == HostEvidence.PROBE) {
+      proven(host, askedAt, HostEvidence.PROBE, now);
     } else {
       lease.probeFailed(now);
       reportIfChanged(host, lease, false, result, now);
--- a/src/main/java/flintlead/scheduling/lease/LeaseListener.java
+++ b/src/main/java/flintlead/scheduling/lease/LeaseListener.java
@@ -15,7 +15,7 @@
         public void listCurrent(Span staleFor) {}
 
         @Override
-        public void hostChanged(long host, boolean usable, HostProof by) {}
+        public void hostChanged(long host, boolean usable, HostEvidence by) {}
       };
 
   /**
@@ -37,5 +37,5 @@
    *
    * @param by the evidence for it
    */
-  void hostChanged(long host, boolean usable, HostProof by);
+  void hostChanged(long host, boolean usable, HostEvidence by);
 }
--- a/src/test/java/flintlead/bench/LeaseCost.java
+++ b/src/test/java/flintlead/bench/LeaseCost.java
@@ -1,7 +1,7 @@
 package flintlead.bench;
 
 import flintlead.scheduling.lease.HostLeases;
-import flintlead.scheduling.lease.HostProof;
+import flintlead.scheduling.lease.HostEvidence;
 import flintlead.scheduling.lease.LeaseListener;
 import flintlead.scheduling.lease.LeaseTerms;
 import flintlead.scheduling.lease.SendPermission;
@@ -104,7 +104,7 @@
     probes[host][(int) (millis / 1_000)]++;
     boolean ready = host >= drained;
     denied += ready ? 0 : 1;
-    HostProof result = ready ? HostProof.PROBE : HostProof.PROBE_DENIED;
+    HostEvidence result = ready ? HostEvidence.PROBE : HostEvidence.PROBE_DENIED;
     leases.probeEnded(host, at(millis), result, at(millis));
     return ready;
   }
@@ -114,7 +114,7 @@
    * when its answer arrives, which changes the results little.
    */
   private static void serve(HostLeases leases, int host, double millis) {
-    leases.proven(host, at(millis), HostProof.SERVED, at(millis + ANSWER_MILLIS));
+    leases.proven(host, at(millis), HostEvidence.SERVED, at(millis + ANSWER_MILLIS));
   }
 
   private void print(int gateways, double perSecond) {
--- a/src/test/java/flintlead/scheduling/lease/HostLeasesTest.java
+++ b/src/test/java/flintlead/scheduling/lease/HostLeasesTest.java
@@ -39,7 +39,7 @@
           }
 
           @Override
-          public void hostChanged(long host, boolean usable, HostProof by) {
+          public void hostChanged(long host, boolean usable, HostEvidence by) {
             reported.add(host + (usable ? " usable by " : " unusable by ") + by.key());
           }
         });
@@ -53,7 +53,7 @@
     return leases.permission(HOST, at(millis));
   }
 
-  private void probe(double askedMillis, HostProof result, double endedMillis) {
+  private void probe(double askedMillis, HostEvidence result, double endedMillis) {
     assertTrue(leases.beginProbe(HOST, at(askedMillis)));
     leases.probeEnded(HOST, at(askedMillis), result, at(endedMillis));
   }
@@ -91,12 +91,12 @@
 
   @Test
   void proofCountsFromWhenItsRequestWasSent() {
-    probe(0, HostProof.PROBE, 300);
+    probe(0, HostEvidence.PROBE, 300);
     assertEquals(SendPermission.GRANTED, permission(799));
     assertEquals(SendPermission.AFTER_PROBE, permission(800));
-    leases.proven(HOST, at(790), HostProof.SERVED, at(1_500));
+    leases.proven(HOST, at(790), HostEvidence.SERVED, at(1_500));
     assertEquals(SendPermission.GRANTED, permission(1_589));
-    leases.proven(HOST, at(100), HostProof.SERVED, at(1_550));
+    leases.proven(HOST, at(100), HostEvidence.SERVED, at(1_550));
     assertEquals(
         SendPermission.GRANTED, permission(1_589), "an older proof does not shorten the lease");
     assertEquals(SendPermission.AFTER_PROBE, permission(1_590));
@@ -104,12 +104,12 @@
 
   @Test
   void failedProbesAreRetriedWithIncreasingBackoff() {
-    probe(0, HostProof.PROBE_DENIED, 0);
+    probe(0, HostEvidence.PROBE_DENIED, 0);
     assertEquals(SendPermission.REFUSED, permission(399));
     assertFalse(leases.beginProbe(HOST, at(399)));
-    probe(400, HostProof.PROBE_UNANSWERED, 400);
+    probe(400, HostEvidence.PROBE_UNANSWERED, 400);
     assertEquals(SendPermission.REFUSED, permission(1_199));
-    probe(1_200, HostProof.PROBE, 1_200);
+    probe(1_200, HostEvidence.PROBE, 1_200);
     assertEquals(SendPermission.GRANTED, permission(1_201));
     assertEquals(Map.of(RefusalReason.PROBE_DENIED, 1), leases.takeRefusals());
     assertEquals(Map.of(), leases.takeRefusals());
@@ -123,7 +123,7 @@
 
   @Test
   void rejectedWorkEndsTheLease() {
-    probe(0, HostProof.PROBE, 1);
+    probe(0, HostEvidence.PROBE, 1);
     leases.turnedAway(HOST, at(100));
     assertEquals(SendPermission.AFTER_PROBE, permission(100));
   }
@@ -132,7 +132,7 @@
   void withoutProbesOnlyServedWorkRenewsTheLease() {
     leases = leases(false, 1);
     assertEquals(SendPermission.REFUSED, permission(0));
-    leases.proven(HOST, at(0), HostProof.SERVED, at(50));
+    leases.proven(HOST, at(0), HostEvidence.SERVED, at(50));
     assertEquals(SendPermission.GRANTED, permission(799));
     assertEquals(SendPermission.REFUSED, permission(800));
   }
@@ -143,7 +143,7 @@
     int sent = 0;
     for (int millis = 0; millis < 60_000; millis += 10) {
       if (leases.permission(HOST, at(millis)) == SendPermission.AFTER_PROBE) {
-        probe(millis, HostProof.PROBE, millis);
+        probe(millis, HostEvidence.PROBE, millis);
         sent++;
       }
     }
@@ -155,16 +155,16 @@
   @Test
   void unreachableHostMayBeAnotherProcessUntilTheListIsConfirmed() {
     leases.listConfirmed(at(0));
-    probe(4_900, HostProof.PROBE, 4_901);
+    probe(4_900, HostEvidence.PROBE, 4_901);
     leases.unreachable(HOST, at(5_000));
     assertEquals(SendPermission.AFTER_PROBE, permission(5_000));
-    leases.proven(HOST, at(4_990), HostProof.SERVED, at(5_010));
+    leases.proven(HOST, at(4_990), HostEvidence.SERVED, at(5_010));
     assertEquals(
         SendPermission.AFTER_PROBE,
         permission(5_011),
         "a proof requested before the host was unreachable is void");
     assertEquals(at(5_500), leases.latestPossibleStart(HOST, at(5_500)), "latest possible start");
-    probe(6_000, HostProof.PROBE, 6_001);
+    probe(6_000, HostEvidence.PROBE, 6_001);
     assertEquals(at(6_000), leases.latestPossibleStart(HOST, at(9_000)));
     assertFalse(leases.isIdentityKnown(HOST, at(9_000)));
     leases.listConfirmed(at(9_000));
@@ -174,7 +174,7 @@
 
   @Test
   void forgottenHostHasNoLease() {
-    probe(0, HostProof.PROBE, 1);
+    probe(0, HostEvidence.PROBE, 1);
     leases.forget(HOST);
     assertEquals(SendPermission.AFTER_PROBE, permission(2));
   }
@@ -185,10 +185,10 @@
     leases.checkList(at(1_900));
     leases.checkList(at(2_100));
     leases.checkList(at(2_200));
-    probe(2_300, HostProof.PROBE, 2_300);
-    probe(3_200, HostProof.PROBE_DENIED, 3_200);
+    probe(2_300, HostEvidence.PROBE, 2_300);
+    probe(3_200, HostEvidence.PROBE_DENIED, 3_200);
     leases.turnedAway(HOST, at(3_300));
-    probe(3_700, HostProof.PROBE, 3_700);
+    probe(3_700, HostEvidence.PROBE, 3_700);
     leases.listConfirmed(at(3_800));
     leases.checkList(at(3_900));
     assertEquals(
@@ -221,9 +221,9 @@
       double askedAt = now - random.nextInt(700);
       boolean askedBeforeDrain = askedAt < drainStart;
       if (permission == SendPermission.AFTER_PROBE && random.nextBoolean()) {
-        probe(now, now < drainStart ? HostProof.PROBE : HostProof.PROBE_DENIED, now);
+        probe(now, now < drainStart ? HostEvidence.PROBE : HostEvidence.PROBE_DENIED, now);
       } else if (askedBeforeDrain && random.nextInt(8) == 0) {
-        leases.proven(HOST, at(askedAt), HostProof.SERVED, at(now));
+        leases.proven(HOST, at(askedAt), HostEvidence.SERVED, at(now));
       } else if (!askedBeforeDrain && random.nextBoolean()) {
         leases.turnedAway(HOST, at(now));
       } else if (random.nextInt(40) == 0) {
