--- a/src/main/java/flintlead/gateway/upstream/HostLeaseGate.java
+++ b/src/main/java/flintlead/gateway/upstream/HostLeaseGate.java
@@ -64,9 +64,9 @@
       return;
     }
     if (outcome == Outcome.OK) {
-      leases.proven(host, exchange.sentAt(), HostEvidence.SERVED, loop.now());
+      leases.recordProof(host, exchange.sentAt(), HostEvidence.SERVED, loop.now());
     } else if (outcome == Outcome.FULL) {
-      leases.turnedAway(host, loop.now());
+      leases.recordRejection(host, loop.now());
     }
   }
 
@@ -133,7 +133,7 @@
     if (result == HostEvidence.PROBE) {
       takeWaiting().forEach(send);
     } else {
-      leases.refused(reason);
+      leases.recordRefusal(reason);
       boolean unreachable = reason == RefusalReason.UNREACHABLE;
       endWaiting(unreachable ? Outcome.CONNECT_FAILED : Outcome.UNPROVEN, reason.key());
     }
--- a/src/main/java/flintlead/platform/upstream/HostLeaseRenewal.java
+++ b/src/main/java/flintlead/platform/upstream/HostLeaseRenewal.java
@@ -69,16 +69,16 @@
       return;
     }
     if (outcome == Outcome.OK) {
-      leases.proven(host, sentAt, HostEvidence.SERVED, pool.now());
+      leases.recordProof(host, sentAt, HostEvidence.SERVED, pool.now());
     } else if (outcome == Outcome.FULL) {
-      leases.turnedAway(host, pool.now());
+      leases.recordRejection(host, pool.now());
     }
   }
 
   /** Called when no connection to the host could be opened. */
   void unreachable() {
     if (pool.isActive()) {
-      leases.unreachable(host, pool.now());
+      leases.recordUnreachable(host, pool.now());
     }
   }
 
@@ -145,7 +145,7 @@
     if (result == HostEvidence.PROBE) {
       pool.sendAfterProbe(removeWaiting());
     } else {
-      leases.refused(reason);
+      leases.recordRefusal(reason);
       boolean unreachable = reason == RefusalReason.UNREACHABLE;
       endWaiting(unreachable ? Outcome.CONNECT_FAILED : Outcome.UNPROVEN);
     }
--- a/src/main/java/flintlead/scheduling/lease/HostLeases.java
+++ b/src/main/java/flintlead/scheduling/lease/HostLeases.java
@@ -146,7 +146,7 @@
    * @param askedAt when the request of the proof was sent
    * @param by what the proof is
    */
-  public void proven(long host, Moment askedAt, HostEvidence by, Moment now) {
+  public void recordProof(long host, Moment askedAt, HostEvidence by, Moment now) {
     HostLease lease = lease(host);
     if (lease.renew(askedAt)) {
       reportIfChanged(host, lease, true, by, now);
@@ -154,7 +154,7 @@
   }
 
   /** Records that the host rejected new work, and ends its lease: it may be draining. */
-  public void turnedAway(long host, Moment now) {
+  public void recordRejection(long host, Moment now) {
     HostLease lease = lease(host);
     lease.end();
     reportIfChanged(host, lease, false, HostEvidence.TURNED_AWAY, now);
@@ -164,7 +164,7 @@
    * Records that no connection to the host could be opened, and ends its lease: from now on another
    * process may run at its address.
    */
-  public void unreachable(long host, Moment now) {
+  public void recordUnreachable(long host, Moment now) {
     HostLease lease = lease(host);
     lease.markUnreachable(now);
     reportIfChanged(host, lease, false, HostEvidence.UNREACHABLE, now);
@@ -194,7 +194,7 @@
     HostLease lease = lease(host);
     RefusalReason refusal = refusalReason(lease, now);
     if (refusal != null) {
-      refused(refusal);
+      recordRefusal(refusal);
       return false;
     }
     lease.probeSent();
@@ -212,7 +212,7 @@
     HostLease lease = lease(host);
     lease.probeEnded();
     if (result == HostEvidence.PROBE) {
-      proven(host, askedAt, HostEvidence.PROBE, now);
+      recordProof(host, askedAt, HostEvidence.PROBE, now);
     } else {
       lease.probeFailed(now);
       reportIfChanged(host, lease, false, result, now);
@@ -251,7 +251,7 @@
   // ---- counters ----
 
   /** Counts new work that was not sent, by reason. */
-  public void refused(RefusalReason reason) {
+  public void recordRefusal(RefusalReason reason) {
     refusals.merge(reason, 1, Integer::sum);
   }
 
--- a/src/test/java/flintlead/bench/LeaseCost.java
+++ b/src/test/java/flintlead/bench/LeaseCost.java
@@ -114,7 +114,7 @@
    * when its answer arrives, which changes the results little.
    */
   private static void serve(HostLeases leases, int host, double millis) {
-    leases.proven(host, at(millis), HostEvidence.SERVED, at(millis + ANSWER_MILLIS));
+    leases.recordProof(host, at(millis), HostEvidence.SERVED, at(millis + ANSWER_MILLIS));
   }
 
   private void print(int gateways, double perSecond) {
--- a/src/test/java/flintlead/scheduling/lease/HostLeasesTest.java
+++ b/src/test/java/flintlead/scheduling/lease/HostLeasesTest.java
@@ -94,9 +94,9 @@
     probe(0, HostEvidence.PROBE, 300);
     assertEquals(SendPermission.GRANTED, permission(799));
     assertEquals(SendPermission.AFTER_PROBE, permission(800));
-    leases.proven(HOST, at(790), HostEvidence.SERVED, at(1_500));
+    leases.recordProof(HOST, at(790), HostEvidence.SERVED, at(1_500));
     assertEquals(SendPermission.GRANTED, permission(1_589));
-    leases.proven(HOST, at(100), HostEvidence.SERVED, at(1_550));
+    leases.recordProof(HOST, at(100), HostEvidence.SERVED, at(1_550));
     assertEquals(
         SendPermission.GRANTED, permission(1_589), "an older proof does not shorten the lease");
     assertEquals(SendPermission.AFTER_PROBE, permission(1_590));
@@ -124,7 +124,7 @@
   @Test
   void rejectedWorkEndsTheLease() {
     probe(0, HostEvidence.PROBE, 1);
-    leases.turnedAway(HOST, at(100));
+    leases.recordRejection(HOST, at(100));
     assertEquals(SendPermission.AFTER_PROBE, permission(100));
   }
 
@@ -132,7 +132,7 @@
   void withoutProbesOnlyServedWorkRenewsTheLease() {
     leases = leases(false, 1);
     assertEquals(SendPermission.REFUSED, permission(0));
-    leases.proven(HOST, at(0), HostEvidence.SERVED, at(50));
+    leases.recordProof(HOST, at(0), HostEvidence.SERVED, at(50));
     assertEquals(SendPermission.GRANTED, permission(799));
     assertEquals(SendPermission.REFUSED, permission(800));
   }
@@ -156,9 +156,9 @@
   void unreachableHostMayBeAnotherProcessUntilTheListIsConfirmed() {
     leases.listConfirmed(at(0));
     probe(4_900, HostEvidence.PROBE, 4_901);
-    leases.unreachable(HOST, at(5_000));
+    leases.recordUnreachable(HOST, at(5_000));
     assertEquals(SendPermission.AFTER_PROBE, permission(5_000));
-    leases.proven(HOST, at(4_990), HostEvidence.SERVED, at(5_010));
+    leases.recordProof(HOST, at(4_990), HostEvidence.SERVED, at(5_010));
     assertEquals(
         SendPermission.AFTER_PROBE,
         permission(5_011),
@@ -187,7 +187,7 @@
     leases.checkList(at(2_200));
     probe(2_300, HostEvidence.PROBE, 2_300);
     probe(3_200, HostEvidence.PROBE_DENIED, 3_200);
-    leases.turnedAway(HOST, at(3_300));
+    leases.recordRejection(HOST, at(3_300));
     probe(3_700, HostEvidence.PROBE, 3_700);
     leases.listConfirmed(at(3_800));
     leases.checkList(at(3_900));
@@ -223,11 +223,11 @@
       if (permission == SendPermission.AFTER_PROBE && random.nextBoolean()) {
         probe(now, now < drainStart ? HostEvidence.PROBE : HostEvidence.PROBE_DENIED, now);
       } else if (askedBeforeDrain && random.nextInt(8) == 0) {
-        leases.proven(HOST, at(askedAt), HostEvidence.SERVED, at(now));
+        leases.recordProof(HOST, at(askedAt), HostEvidence.SERVED, at(now));
       } else if (!askedBeforeDrain && random.nextBoolean()) {
-        leases.turnedAway(HOST, at(now));
+        leases.recordRejection(HOST, at(now));
       } else if (random.nextInt(40) == 0) {
-        leases.unreachable(HOST, at(now));
+        leases.recordUnreachable(HOST, at(now));
       }
     }
   }
