--- a/src/main/java/flintlead/discovery/registry/RegistryDiscovery.java
+++ b/src/main/java/flintlead/discovery/registry/RegistryDiscovery.java
@@ -176,7 +176,7 @@
       return;
     }
     try {
-      context.leases().checkList(loop.now());
+      context.leases().notifyListChanges(loop.now());
       endpointRegistry.retainedHosts().forEach(context::probe);
       if (endpointRegistry.expireRetained(loop.now())) {
         publish();
@@ -205,7 +205,7 @@
   @Override
   public void abandonAttempt(long attempt) {
     client.abort();
-    context.leases().listBroken(loop.now());
+    context.leases().discoveryDisconnected(loop.now());
   }
 
   @Override
--- a/src/main/java/flintlead/platform/PlatformGateway.java
+++ b/src/main/java/flintlead/platform/PlatformGateway.java
@@ -81,7 +81,7 @@
             loop, registry, guard, context.scheduler(), counters, settings.triggerTypeNames(), log);
     this.hosts = new HostListUpdater(pools, context.scheduler());
     invocations.startOverdueChecks();
-    RepeatingTask.start(loop, HOST_LIST_CHECK_INTERVAL, () -> leases.checkList(loop.now()));
+    RepeatingTask.start(loop, HOST_LIST_CHECK_INTERVAL, () -> leases.notifyListChanges(loop.now()));
     RepeatingTask.start(loop, SUMMARY_INTERVAL, this::logSummary);
   }
 
--- a/src/main/java/flintlead/platform/journal/JournalClient.java
+++ b/src/main/java/flintlead/platform/journal/JournalClient.java
@@ -216,7 +216,7 @@
     @Override
     public void closed(String error) {
       if (!closed) {
-        leases.listBroken(heartbeats == null ? loop.now() : stream.quietAt());
+        leases.discoveryDisconnected(heartbeats == null ? loop.now() : stream.quietAt());
       }
       fail(error);
     }
--- a/src/main/java/flintlead/scheduling/lease/HostLeases.java
+++ b/src/main/java/flintlead/scheduling/lease/HostLeases.java
@@ -75,7 +75,7 @@
    *
    * @param at the earliest time at which it may have broken
    */
-  public void listBroken(Moment at) {
+  public void discoveryDisconnected(Moment at) {
     list.broken(at);
   }
 
@@ -87,7 +87,7 @@
   /**
    * Tells the listener if the host list has become stale or current; must be called periodically.
    */
-  public void checkList(Moment now) {
+  public void notifyListChanges(Moment now) {
     firstCheckAt = firstCheckAt == null ? now : firstCheckAt;
     boolean current = isListCurrent(now);
     Span age = list.age(now, firstCheckAt);
--- a/src/test/java/flintlead/scheduling/lease/HostLeasesTest.java
+++ b/src/test/java/flintlead/scheduling/lease/HostLeasesTest.java
@@ -70,8 +70,8 @@
   @Test
   void brokenConnectionToDiscoveryEndsLeasesSooner() {
     leases.listConfirmed(at(0));
-    leases.listBroken(at(500));
-    leases.listBroken(at(900));
+    leases.discoveryDisconnected(at(500));
+    leases.discoveryDisconnected(at(900));
     assertEquals(SendPermission.GRANTED, permission(3_299));
     assertEquals(SendPermission.AFTER_PROBE, permission(3_300));
     leases.listConfirmed(at(400));
@@ -85,7 +85,7 @@
 
   @Test
   void unconfirmedListRenewsNothing() {
-    leases.listBroken(at(0));
+    leases.discoveryDisconnected(at(0));
     assertEquals(SendPermission.AFTER_PROBE, permission(0));
   }
 
@@ -181,16 +181,16 @@
 
   @Test
   void changesAreReportedOnce() {
-    leases.checkList(at(0));
-    leases.checkList(at(1_900));
-    leases.checkList(at(2_100));
-    leases.checkList(at(2_200));
+    leases.notifyListChanges(at(0));
+    leases.notifyListChanges(at(1_900));
+    leases.notifyListChanges(at(2_100));
+    leases.notifyListChanges(at(2_200));
     probe(2_300, HostEvidence.PROBE, 2_300);
     probe(3_200, HostEvidence.PROBE_DENIED, 3_200);
     leases.recordRejection(HOST, at(3_300));
     probe(3_700, HostEvidence.PROBE, 3_700);
     leases.listConfirmed(at(3_800));
-    leases.checkList(at(3_900));
+    leases.notifyListChanges(at(3_900));
     assertEquals(
         List.of("stale 2100", "7 unusable by probe_denied", "7 usable by probe", "current 1800"),
         reported);
@@ -212,7 +212,7 @@
       if (now < outageStart) {
         leases.listConfirmed(at(now - random.nextInt(500)));
       } else if (breaks) {
-        leases.listBroken(at(now));
+        leases.discoveryDisconnected(at(now));
       }
       SendPermission permission = permission(now);
       assertTrue(
