--- a/src/main/java/flintlead/platform/upstream/HostLeaseRenewal.java
+++ b/src/main/java/flintlead/platform/upstream/HostLeaseRenewal.java
@@ -58,7 +58,7 @@
    * reach the host any more either.
    */
   boolean isLeaseValid() {
-    return leases.holds(host, pool.now());
+    return leases.hasLease(host, pool.now());
   }
 
   // ---- lease updates ----
--- a/src/main/java/flintlead/routing/guard/HostSendGuard.java
+++ b/src/main/java/flintlead/routing/guard/HostSendGuard.java
@@ -64,7 +64,7 @@
    * @param clock the time, read after the write
    */
   public void sent(long host, String id, Moment clock) {
-    if (!leases.holds(host, clock.minus(WRITE_SLACK))) {
+    if (!leases.hasLease(host, clock.minus(WRITE_SLACK))) {
       monitor.violated(
           Invariant.LEASE_BEFORE_NEW_WORK,
           id,
--- a/src/main/java/flintlead/scheduling/Placement.java
+++ b/src/main/java/flintlead/scheduling/Placement.java
@@ -116,8 +116,8 @@
 
   /** Returns a negative number if the first host is the better one. */
   private double compare(Host one, Host other) {
-    boolean leaseHolds = state.leases.holds(one.id(), state.now());
-    boolean otherLeaseHolds = state.leases.holds(other.id(), state.now());
+    boolean leaseHolds = state.leases.hasLease(one.id(), state.now());
+    boolean otherLeaseHolds = state.leases.hasLease(other.id(), state.now());
     return leaseHolds == otherLeaseHolds ? compareLoad(one, other) : leaseHolds ? -1 : 1;
   }
 
--- a/src/main/java/flintlead/scheduling/lease/HostLeases.java
+++ b/src/main/java/flintlead/scheduling/lease/HostLeases.java
@@ -132,7 +132,7 @@
   }
 
   /** Whether the host's lease is valid, so that new work for it needs no probe. */
-  public boolean holds(long host, Moment now) {
+  public boolean hasLease(long host, Moment now) {
     return isListCurrent(now) || lease(host).holds(now);
   }
 
--- a/src/test/java/flintlead/bench/LeaseCost.java
+++ b/src/test/java/flintlead/bench/LeaseCost.java
@@ -95,7 +95,7 @@
   }
 
   private boolean ensureLease(HostLeases leases, int host, double millis) {
-    if (leases.holds(host, at(millis))) {
+    if (leases.hasLease(host, at(millis))) {
       return true;
     }
     if (!leases.beginProbe(host, at(millis))) {
