--- a/src/main/java/flintlead/gateway/InvocationService.java
+++ b/src/main/java/flintlead/gateway/InvocationService.java
@@ -199,7 +199,7 @@
       Consumer<InvocationResponse> reply) {
     admission.release(invocation.source(), invocation.request().bytes());
     Moment acceptedAt = invocation.deadline().minus(timeout);
-    double relativeLatency = timers.now().since(acceptedAt).over(trigger.latencyObjective());
+    double relativeLatency = timers.now().since(acceptedAt).ratioTo(trigger.latencyObjective());
     releasePool(
         invocation,
         InvocationMapping.poolOutcome(invocation, response, relativeLatency),
--- a/src/main/java/flintlead/routing/pool/SpilloverController.java
+++ b/src/main/java/flintlead/routing/pool/SpilloverController.java
@@ -83,7 +83,7 @@
       return Math.min(1, pool.spillShare + SPILL_INCREASE);
     }
     if (failureRate < FAILURE_RATE_LOW || Double.isNaN(failureRate)) {
-      double intervals = Math.floor(elapsed.over(EvaluationWindow.INTERVAL));
+      double intervals = Math.floor(elapsed.ratioTo(EvaluationWindow.INTERVAL));
       return Math.max(0, pool.spillShare - SPILL_DECREASE * intervals);
     }
     return pool.spillShare;
--- a/src/main/java/flintlead/scheduling/CapacityLimits.java
+++ b/src/main/java/flintlead/scheduling/CapacityLimits.java
@@ -112,7 +112,7 @@
     }
     Host host = attempt.host;
     Span objective = attempt.latencyObjective();
-    double relative = Math.min(1, attempt.elapsed.over(objective));
+    double relative = Math.min(1, attempt.elapsed.ratioTo(objective));
     host.relativeLatency += RELATIVE_LATENCY_WEIGHT * (relative - host.relativeLatency);
     if (host.relativeLatency > targetRelativeLatency) {
       decrease(host.concurrencyLimit, host.inFlight + 1, objective);
@@ -197,7 +197,7 @@
       return true;
     }
     Moment now = state.now();
-    double elapsedFraction = now.since(startedAt(host)).over(deployment.slowStartDuration());
+    double elapsedFraction = now.since(startedAt(host)).ratioTo(deployment.slowStartDuration());
     double initial = deployment.slowStartFraction();
     double fraction = initial + (1 - initial) * Math.max(0, elapsedFraction);
     double perHost = answers.perSecond() / Math.max(1, state.hosts.listed().length);
--- a/src/main/java/flintlead/testing/arrivals/BurstArrivals.java
+++ b/src/main/java/flintlead/testing/arrivals/BurstArrivals.java
@@ -16,7 +16,7 @@
   private double stateEndsAtMicros;
 
   BurstArrivals(double perSecond, double factor, Span calm, Span burst, Random random) {
-    double burstShare = burst.over(calm.plus(burst));
+    double burstShare = burst.ratioTo(calm.plus(burst));
     this.calmPerSecond = perSecond / (1 - burstShare + burstShare * factor);
     this.factor = factor;
     this.calm = calm;
--- a/src/main/java/flintlead/testing/emulator/ProcessState.java
+++ b/src/main/java/flintlead/testing/emulator/ProcessState.java
@@ -57,7 +57,7 @@
     if (!cold) {
       return 1;
     }
-    double progress = Math.min(1, now.since(startedAt).over(model.slowStartDuration()));
+    double progress = Math.min(1, now.since(startedAt).ratioTo(model.slowStartDuration()));
     return model.slowStartFraction() + (1 - model.slowStartFraction()) * progress;
   }
 
--- a/src/main/java/flintlead/testing/scenario/ColdStartAudit.java
+++ b/src/main/java/flintlead/testing/scenario/ColdStartAudit.java
@@ -69,7 +69,7 @@
   private double coldBudgetMs(ExecutionLog.HostStart start, Span age) {
     double warm =
         hostModel.slowStartFraction()
-            + (1 - hostModel.slowStartFraction()) * age.over(hostModel.slowStartDuration());
+            + (1 - hostModel.slowStartFraction()) * age.ratioTo(hostModel.slowStartDuration());
     return hostModel.overloadFactor()
             * warm
             * start.coresTimesSpeed()
--- a/src/main/java/flintlead/testing/scenario/HostFaultInjector.java
+++ b/src/main/java/flintlead/testing/scenario/HostFaultInjector.java
@@ -176,7 +176,7 @@
 
   /** It grows slower and slower until it restarts. */
   private void age(HostEmulator host, Fault fault, Moment since) {
-    double progress = context.hostLoop.now().since(since).over(fault.duration());
+    double progress = context.hostLoop.now().since(since).ratioTo(fault.duration());
     if (progress >= 1) {
       host.faults.slowdown = 1;
       hosts.restart(List.of(host), fault.episodeDuration());
--- a/src/main/java/flintlead/time/Span.java
+++ b/src/main/java/flintlead/time/Span.java
@@ -26,7 +26,7 @@
   }
 
   /** Returns the ratio of this span to the other. */
-  public double over(Span other) {
+  public double ratioTo(Span other) {
     return (double) micros / other.micros;
   }
 
--- a/src/test/java/flintlead/scheduling/ScriptedFleet.java
+++ b/src/test/java/flintlead/scheduling/ScriptedFleet.java
@@ -331,7 +331,7 @@
           listed.values().stream().filter(each -> each.state() != HostEntry.State.GONE).count();
       double capacityFraction =
           deployment.slowStartFraction()
-              + (1 - deployment.slowStartFraction()) * age.over(deployment.slowStartDuration());
+              + (1 - deployment.slowStartFraction()) * age.ratioTo(deployment.slowStartDuration());
       double budget =
           deployment.overloadFactor()
               * capacityFraction
