--- a/src/main/java/flintlead/scheduling/Scheduler.java
+++ b/src/main/java/flintlead/scheduling/Scheduler.java
@@ -289,7 +289,7 @@
 
   @Override
   public void updateHosts(List<HostEntry> entries) {
-    state.hosts.update(entries, this::resetHost, state.loadOrders::involve);
+    state.hosts.update(entries, this::resetHost, state.loadOrders::hasOrderAt);
     releaseOrder.releasePending();
   }
 
--- a/src/main/java/flintlead/scheduling/state/LoadOrders.java
+++ b/src/main/java/flintlead/scheduling/state/LoadOrders.java
@@ -19,7 +19,7 @@
   }
 
   /** Returns whether a load order is in flight at the host. */
-  public boolean involve(Host host) {
+  public boolean hasOrderAt(Host host) {
     return waiting.stream().anyMatch(invocation -> invocation.loadOrderedAt == host);
   }
 
