--- a/src/main/java/flintlead/scheduling/CapacityLimits.java
+++ b/src/main/java/flintlead/scheduling/CapacityLimits.java
@@ -172,7 +172,7 @@
   }
 
   void recordSuccess() {
-    spillBudget.earn();
+    spillBudget.deposit();
     answers.record(state.now());
   }
 
--- a/src/main/java/flintlead/scheduling/state/SpillBudget.java
+++ b/src/main/java/flintlead/scheduling/state/SpillBudget.java
@@ -17,7 +17,7 @@
   private double credit = MAX_CREDIT;
 
   /** Credits the budget for a successful answer. */
-  public void earn() {
+  public void deposit() {
     credit = Math.min(MAX_CREDIT, credit + CREDIT_PER_ANSWER);
   }
 
--- a/src/test/java/flintlead/scheduling/SpillBudgetTest.java
+++ b/src/test/java/flintlead/scheduling/SpillBudgetTest.java
@@ -112,13 +112,13 @@
     }
     assertFalse(budget.isAvailable());
     for (int i = 0; i < 21; i++) {
-      budget.earn();
+      budget.deposit();
     }
     assertTrue(budget.isAvailable());
     budget.spend();
     assertFalse(budget.isAvailable());
     for (int i = 0; i < 1_000; i++) {
-      budget.earn();
+      budget.deposit();
     }
     int available = 0;
     while (budget.isAvailable()) {
