--- a/src/main/java/flintlead/scheduling/Placement.java
+++ b/src/main/java/flintlead/scheduling/Placement.java
@@ -290,7 +290,7 @@
 
   private void setReplicaTarget(FunctionState function, double target) {
     function.replicaTarget = Math.max(1, Math.min(state.hosts.listed().length, target));
-    gossip.offer(function, GOSSIP_CHANGE_FACTOR, GOSSIP_DELAY, GOSSIP_FANOUT);
+    gossip.scheduleIfChanged(function, GOSSIP_CHANGE_FACTOR, GOSSIP_DELAY, GOSSIP_FANOUT);
   }
 
   void mergeGossip(byte[] message) {
--- a/src/main/java/flintlead/scheduling/state/SpreadGossip.java
+++ b/src/main/java/flintlead/scheduling/state/SpreadGossip.java
@@ -23,7 +23,7 @@
    * @param delay how long further changes are collected before sending
    * @param fanout number of times that a message is sent, each to a random peer
    */
-  public void offer(FunctionState function, double factor, Span delay, int fanout) {
+  public void scheduleIfChanged(FunctionState function, double factor, Span delay, int fanout) {
     double change = function.replicaTarget / function.gossipedReplicaTarget;
     if (state.deployment.supportsPeers()
         && state.gateways > 1
