--- a/src/main/java/flintlead/gateway/HostStates.java
+++ b/src/main/java/flintlead/gateway/HostStates.java
@@ -101,7 +101,7 @@
       return Optional.empty();
     }
     boolean drained = announcedDraining.remove(host);
-    HostEntry restarted = entry.startedAt(startedAt).with(drained ? listedState : entry.state());
+    HostEntry restarted = entry.withStartedAt(startedAt).withState(drained ? listedState : entry.state());
     entries.put(host, restarted);
     return Optional.of(restarted);
   }
@@ -113,7 +113,7 @@
       return Optional.empty();
     }
     announcedDraining.add(host);
-    HostEntry draining = entry.with(HostEntry.State.DRAINING);
+    HostEntry draining = entry.withState(HostEntry.State.DRAINING);
     entries.put(host, draining);
     return Optional.of(draining);
   }
--- a/src/main/java/flintlead/scheduling/api/HostEntry.java
+++ b/src/main/java/flintlead/scheduling/api/HostEntry.java
@@ -42,12 +42,12 @@
   }
 
   /** Returns a copy with another state. */
-  public HostEntry with(State newState) {
+  public HostEntry withState(State newState) {
     return new HostEntry(host, zone, cell, kind, newState, startedAt, weight, pools);
   }
 
   /** Returns a copy with another start time of the process. */
-  public HostEntry startedAt(Moment newStart) {
+  public HostEntry withStartedAt(Moment newStart) {
     return new HostEntry(host, zone, cell, kind, state, newStart, weight, pools);
   }
 }
