--- a/src/main/java/flintlead/scheduling/Scheduler.java
+++ b/src/main/java/flintlead/scheduling/Scheduler.java
@@ -10,7 +10,7 @@
 import flintlead.scheduling.api.TriggerType.Effect;
 import flintlead.scheduling.state.Attempt;
 import flintlead.scheduling.state.Host;
-import flintlead.scheduling.state.InvocationEvents;
+import flintlead.scheduling.state.InvocationListener;
 import flintlead.scheduling.state.InvocationState;
 import flintlead.scheduling.state.SchedulerState;
 import flintlead.time.Moment;
@@ -23,7 +23,7 @@
  *
  * <p>Not thread-safe: calls must come one at a time.
  */
-public final class Scheduler implements SchedulingPolicy, InvocationEvents {
+public final class Scheduler implements SchedulingPolicy, InvocationListener {
 
   /** As in the paper: the most load orders after a miss that one gateway may have in flight. */
   private static final int MAX_MISS_LOAD_ORDERS = 2;
--- a/src/main/java/flintlead/scheduling/state/InvocationEvents.java
+++ b/src/main/java/flintlead/scheduling/state/InvocationListener.java
@@ -1,7 +1,7 @@
 package flintlead.scheduling.state;
 
 /** Receives the events of an invocation after its submission. */
-public interface InvocationEvents {
+public interface InvocationListener {
 
   /**
    * An attempt ended; called once for each attempt. {@code answered} is true if the client has its
--- a/src/main/java/flintlead/scheduling/state/InvocationState.java
+++ b/src/main/java/flintlead/scheduling/state/InvocationState.java
@@ -71,7 +71,7 @@
    */
   public boolean settled;
 
-  private final InvocationEvents events;
+  private final InvocationListener events;
 
   InvocationState(
       long id,
@@ -79,7 +79,7 @@
       TriggerType type,
       FunctionState function,
       Moment submittedAt,
-      InvocationEvents events) {
+      InvocationListener events) {
     this.id = id;
     this.spec = spec;
     this.type = type;
--- a/src/main/java/flintlead/scheduling/state/SchedulerState.java
+++ b/src/main/java/flintlead/scheduling/state/SchedulerState.java
@@ -52,7 +52,7 @@
   }
 
   /** Creates the state of an invocation that is submitted now. */
-  public InvocationState newInvocation(long id, InvocationSpec spec, InvocationEvents events) {
+  public InvocationState newInvocation(long id, InvocationSpec spec, InvocationListener events) {
     FunctionState function = functions.getOrCreate(spec.function());
     InvocationState invocation =
         new InvocationState(
