--- a/src/main/java/flintlead/scheduling/Scheduler.java
+++ b/src/main/java/flintlead/scheduling/Scheduler.java
@@ -63,7 +63,7 @@
     this.capacity = new CapacityLimits(state);
     this.placement = new Placement(state, rules, health, capacity);
     this.releaseOrder = new ReleaseOrder(state, placement, this::schedule, this::abandon);
-    if (deployment.hostsOnRequest()) {
+    if (deployment.requiresHostSubscription()) {
       context.subscribeHosts(true);
     }
   }
@@ -304,7 +304,7 @@
 
   @Override
   public void hostListUnavailable() {
-    if (deployment.hostsOnRequest()) {
+    if (deployment.requiresHostSubscription()) {
       Moment next = context.now().plus(CapacityLimits.FULL_BACKOFF);
       context.schedule(next, () -> context.subscribeHosts(true));
     }
--- a/src/main/java/flintlead/scheduling/api/Deployment.java
+++ b/src/main/java/flintlead/scheduling/api/Deployment.java
@@ -11,7 +11,7 @@
  * @param gateways number of gateways that share the hosts
  * @param zone zone of this gateway
  * @param tick resolution of the clock
- * @param hostsOnRequest whether the gateway must subscribe to the host list
+ * @param requiresHostSubscription whether the gateway must subscribe to the host list
  * @param customerQuotas invocations per second that each customer may send, over all gateways
  * @param answerSlack how long after its deadline an invocation may still be answered
  * @param firstAttemptWithin time within which the first attempt must be sent; zero for no limit
@@ -45,7 +45,7 @@
     int gateways,
     int zone,
     Span tick,
-    boolean hostsOnRequest,
+    boolean requiresHostSubscription,
     List<TriggerType> triggerTypes,
     List<Double> customerQuotas,
     Span answerSlack,
--- a/src/test/java/flintlead/golden/Printed.java
+++ b/src/test/java/flintlead/golden/Printed.java
@@ -124,7 +124,7 @@
         .line("group_size", told.gateways())
         .line("zone", told.zone())
         .line("tick", told.tick())
-        .line("on_request", told.hostsOnRequest())
+        .line("on_request", told.requiresHostSubscription())
         .line("quotas", told.customerQuotas())
         .line("names", told.reportNames());
     for (int i = 0; i < told.triggerTypes().size(); i++) {
