--- a/src/main/java/flintlead/scheduling/Scheduler.java
+++ b/src/main/java/flintlead/scheduling/Scheduler.java
@@ -119,7 +119,7 @@
       return;
     }
     if (attempt.hostSilent()) {
-      state.loadEnded(attempt);
+      state.stopCountingLoad(attempt);
       if (!health.ejectIfSilent(attempt.host)) {
         checkSilenceAfter(attempt, HostHealth.silenceTimeout(attempt.invocation));
       }
--- a/src/main/java/flintlead/scheduling/state/SchedulerState.java
+++ b/src/main/java/flintlead/scheduling/state/SchedulerState.java
@@ -82,14 +82,14 @@
     host.inFlight--;
     host.inFlightAtEjection = Math.min(host.inFlightAtEjection, host.inFlight);
     attempt.estimate.inFlight--;
-    loadEnded(attempt);
+    stopCountingLoad(attempt);
   }
 
   /**
    * Removes an attempt from the loads in flight when it ended or its host is silent, so that it
    * does not block further loads. Does nothing for an attempt that is not counted.
    */
-  public void loadEnded(Attempt attempt) {
+  public void stopCountingLoad(Attempt attempt) {
     if (attempt.countsAsLoad) {
       attempt.countsAsLoad = false;
       if (--attempt.estimate.loadsInFlight == 0) {
