--- a/src/main/java/flintlead/gateway/upstream/Exchange.java
+++ b/src/main/java/flintlead/gateway/upstream/Exchange.java
@@ -63,7 +63,7 @@
   protected SendVerdict maySend(Moment deliveredUpTo, Moment clock) {
     return InvocationGuard.isRecent(deliveredUpTo, clock)
         ? SendVerdict.SEND
-        : SendVerdict.LOOK_FIRST;
+        : SendVerdict.POLL_FIRST;
   }
 
   /**
--- a/src/main/java/flintlead/gateway/upstream/RequestQueue.java
+++ b/src/main/java/flintlead/gateway/upstream/RequestQueue.java
@@ -76,11 +76,11 @@
       }
       switch (verdict(requests.peek())) {
         case SEND -> best.send(requests.poll());
-        case LOOK_FIRST -> {
+        case POLL_FIRST -> {
           sendAfterNextPoll();
           return;
         }
-        case PROVE_FIRST, UNPROVEN -> leaseGate.await(requests.poll());
+        case PROBE_FIRST, UNPROVEN -> leaseGate.await(requests.poll());
         default ->
             endLater(requests.poll(), Outcome.WITHDRAWN, "its client no longer waits for it");
       }
--- a/src/main/java/flintlead/platform/upstream/ConnectionPool.java
+++ b/src/main/java/flintlead/platform/upstream/ConnectionPool.java
@@ -191,12 +191,12 @@
       case SEND -> {
         // The response, or the end of the connection, is handled when it arrives.
       }
-      case LOOK_FIRST -> {
+      case POLL_FIRST -> {
         queue.addFirst(request);
         sendAfterNextPoll();
         return false;
       }
-      case PROVE_FIRST, UNPROVEN -> renewal.awaitProbe(request);
+      case PROBE_FIRST, UNPROVEN -> renewal.awaitProbe(request);
       default -> endLater(request, Outcome.WITHDRAWN);
     }
     return true;
--- a/src/main/java/flintlead/platform/upstream/Request.java
+++ b/src/main/java/flintlead/platform/upstream/Request.java
@@ -61,7 +61,7 @@
   protected SendVerdict maySend(Moment deliveredUpTo, Moment clock) {
     return InvocationGuard.isRecent(deliveredUpTo, clock)
         ? SendVerdict.SEND
-        : SendVerdict.LOOK_FIRST;
+        : SendVerdict.POLL_FIRST;
   }
 
   /**
--- a/src/main/java/flintlead/routing/guard/HostSendGuard.java
+++ b/src/main/java/flintlead/routing/guard/HostSendGuard.java
@@ -51,7 +51,7 @@
   public SendVerdict maySend(long host, Moment clock) {
     return switch (leases.permission(host, clock)) {
       case GRANTED -> SendVerdict.SEND;
-      case AFTER_PROBE -> SendVerdict.PROVE_FIRST;
+      case AFTER_PROBE -> SendVerdict.PROBE_FIRST;
       case REFUSED -> SendVerdict.UNPROVEN;
     };
   }
--- a/src/main/java/flintlead/routing/guard/InvocationGuard.java
+++ b/src/main/java/flintlead/routing/guard/InvocationGuard.java
@@ -79,7 +79,7 @@
     if (!clock.isBefore(Moment.earlier(invocation.deadline(), abandonAt))) {
       return SendVerdict.EXPIRED;
     }
-    return isRecent(clientSeenAt, clock) ? SendVerdict.SEND : SendVerdict.LOOK_FIRST;
+    return isRecent(clientSeenAt, clock) ? SendVerdict.SEND : SendVerdict.POLL_FIRST;
   }
 
   /**
--- a/src/main/java/flintlead/routing/guard/SendVerdict.java
+++ b/src/main/java/flintlead/routing/guard/SendVerdict.java
@@ -8,9 +8,9 @@
    * The sockets were not polled recently, so its client may have disconnected unnoticed: it waits
    * for the next poll.
    */
-  LOOK_FIRST,
+  POLL_FIRST,
   /** The host's lease has expired: the host must answer a probe first. */
-  PROVE_FIRST,
+  PROBE_FIRST,
   /**
    * The host's lease has expired and can't be renewed now: the request must not be sent to this
    * host.
--- a/src/test/java/flintlead/routing/guard/InvocationGuardTest.java
+++ b/src/test/java/flintlead/routing/guard/InvocationGuardTest.java
@@ -34,7 +34,7 @@
   @Test
   void anAttemptIsSentOnlyIfItsClientWasSeenRecently() {
     assertEquals(SendVerdict.SEND, verdict(10, 20));
-    assertEquals(SendVerdict.LOOK_FIRST, verdict(10, 51));
+    assertEquals(SendVerdict.POLL_FIRST, verdict(10, 51));
     assertEquals(SendVerdict.EXPIRED, verdict(299, 300));
     guard.clientGone(invocation);
     assertEquals(SendVerdict.ENDED, verdict(10, 20));
