--- a/src/main/java/flintlead/gateway/InvocationService.java
+++ b/src/main/java/flintlead/gateway/InvocationService.java
@@ -150,7 +150,7 @@
     try {
       invocation.handle(scheduler.submit(invocation.id(), spec));
     } catch (RuntimeException e) {
-      guard.failed(invocation.record(), e);
+      guard.reportFailure(invocation.record(), e);
       if (responses.isPending(invocation.id())) {
         fail(invocation, "a fault in the gateway");
       }
@@ -217,7 +217,7 @@
   }
 
   private void complete(PendingInvocation invocation, InvocationResponse response) {
-    if (!guard.mayAnswer(invocation.record())) {
+    if (!guard.markAnswered(invocation.record())) {
       return;
     }
     responses.complete(invocation.id(), response);
@@ -306,7 +306,7 @@
   void clientDisconnected(long id) {
     if (responses.discard(id)) {
       PendingInvocation invocation = invocations.get(id);
-      guard.clientGone(invocation.record());
+      guard.markClientGone(invocation.record());
       admission.release(invocation.source(), invocation.request().bytes());
       releasePool(invocation, PoolRouter.InvocationResult.UNKNOWN, 0);
       counters.clientDisconnects++;
@@ -350,7 +350,7 @@
   void failOverdue(Moment asOf) {
     for (long id : responses.expired(asOf)) {
       PendingInvocation invocation = invocations.get(id);
-      guard.overdue(invocation.record(), asOf);
+      guard.reportOverdue(invocation.record(), asOf);
       fail(invocation, DEADLINE_PASSED);
       invocation.withHandle(InvocationHandle::clientDisconnected);
       forgetIfFinished(invocation);
--- a/src/main/java/flintlead/platform/HostAttempt.java
+++ b/src/main/java/flintlead/platform/HostAttempt.java
@@ -134,7 +134,7 @@
 
   @Override
   protected void writtenToSocket(Moment clock) {
-    runner.guard().sent(invocation.record(), invocation.client().seenOpenAt(), grantedTime, clock);
+    runner.guard().checkSent(invocation.record(), invocation.client().seenOpenAt(), grantedTime, clock);
     invocation.record().note(clock, "attempt " + number + " sent");
   }
 
--- a/src/main/java/flintlead/platform/InvocationRegistry.java
+++ b/src/main/java/flintlead/platform/InvocationRegistry.java
@@ -107,7 +107,7 @@
       String outcome,
       Consumer<InvocationHandler.ResponseCallback> response) {
     invocation.record().note(loop.now(), outcome);
-    if (guard.mayAnswer(invocation.record())) {
+    if (guard.markAnswered(invocation.record())) {
       responses.complete(invocation.id(), response);
     }
   }
@@ -118,7 +118,7 @@
    */
   void discardResponse(PendingInvocation invocation) {
     invocation.record().note(loop.now(), "client gone");
-    if (guard.clientGone(invocation.record())) {
+    if (guard.markClientGone(invocation.record())) {
       responses.complete(invocation.id(), client -> {});
     }
   }
@@ -160,7 +160,7 @@
   List<Long> overdue(Moment now) {
     List<Long> overdue = responses.expired(now);
     for (long id : overdue) {
-      guard.overdue(invocations.get(id).record(), now);
+      guard.reportOverdue(invocations.get(id).record(), now);
     }
     return overdue;
   }
--- a/src/main/java/flintlead/platform/InvocationService.java
+++ b/src/main/java/flintlead/platform/InvocationService.java
@@ -93,7 +93,7 @@
         .addKeyValue("id", record.id())
         .addKeyValue("reason", reason.key())
         .log("invocation_rejected");
-    if (guard.mayAnswer(record)) {
+    if (guard.markAnswered(record)) {
       client.throttled(retryAfter());
     }
   }
@@ -112,7 +112,7 @@
   }
 
   private void fail(PendingInvocation invocation, RuntimeException cause) {
-    guard.failed(invocation.record(), cause);
+    guard.reportFailure(invocation.record(), cause);
     log.atError().addKeyValue("id", invocation.idText()).setCause(cause).log("invocation_failed");
     if (registry.isOpen(invocation)) {
       registry.respond(invocation, "failed", ResponseCallback::errored);
@@ -136,7 +136,7 @@
   public void closedUnanswered(long id, CloseCause cause) {
     PendingInvocation invocation = registry.find(id);
     if (invocation != null && registry.isOpen(invocation)) {
-      guard.closedUnanswered(invocation.record(), cause.key());
+      guard.reportClosedUnanswered(invocation.record(), cause.key());
     }
   }
 
--- a/src/main/java/flintlead/platform/PlatformGateway.java
+++ b/src/main/java/flintlead/platform/PlatformGateway.java
@@ -98,7 +98,7 @@
 
   /** Records that the process was stalled: it did not poll its sockets for that long. */
   void recordStall(Span length) {
-    guard.stoodStill(loop.polls().readClock());
+    guard.recordStall(loop.polls().readClock());
     counters.recordStall(length);
     log.atInfo()
         .addKeyValue("length_ms", length.micros() / 1000)
--- a/src/main/java/flintlead/platform/upstream/HostLeaseRenewal.java
+++ b/src/main/java/flintlead/platform/upstream/HostLeaseRenewal.java
@@ -50,7 +50,7 @@
    * latest.
    */
   void sent(String id, Moment clock) {
-    guard.sent(host, id, clock);
+    guard.checkSent(host, id, clock);
   }
 
   /**
--- a/src/main/java/flintlead/routing/guard/HostSendGuard.java
+++ b/src/main/java/flintlead/routing/guard/HostSendGuard.java
@@ -63,7 +63,7 @@
    * @param id of the request, for the report
    * @param clock the time, read after the write
    */
-  public void sent(long host, String id, Moment clock) {
+  public void checkSent(long host, String id, Moment clock) {
     if (!leases.hasLease(host, clock.minus(WRITE_SLACK))) {
       monitor.violated(
           Invariant.LEASE_BEFORE_NEW_WORK,
--- a/src/main/java/flintlead/routing/guard/InvocationGuard.java
+++ b/src/main/java/flintlead/routing/guard/InvocationGuard.java
@@ -97,7 +97,7 @@
    * @param granted the time that the host was granted to answer
    * @param clock the time, read after the attempt was passed to the kernel
    */
-  public void sent(InvocationRecord invocation, Moment clientSeenAt, Span granted, Moment clock) {
+  public void checkSent(InvocationRecord invocation, Moment clientSeenAt, Span granted, Moment clock) {
     if (!invocation.isOpen()) {
       violated(
           Invariant.NO_ATTEMPT_AFTER_END,
@@ -125,7 +125,7 @@
    * Marks the invocation as answered, right before its final answer is sent. Returns false and
    * reports a violation if the invocation has ended before; the answer must not be sent then.
    */
-  public boolean mayAnswer(InvocationRecord invocation) {
+  public boolean markAnswered(InvocationRecord invocation) {
     if (invocation.transitionTo(InvocationPhase.ANSWERED)) {
       return true;
     }
@@ -140,14 +140,14 @@
    * Marks the invocation's client as gone: it has disconnected or cancelled the invocation. Returns
    * false if the invocation has ended before.
    */
-  public boolean clientGone(InvocationRecord invocation) {
+  public boolean markClientGone(InvocationRecord invocation) {
     return invocation.transitionTo(InvocationPhase.CLIENT_GONE);
   }
 
   /**
    * Reports that the gateway closes a client connection while an invocation on it is unanswered.
    */
-  public void closedUnanswered(InvocationRecord invocation, String reason) {
+  public void reportClosedUnanswered(InvocationRecord invocation, String reason) {
     violated(Invariant.ANSWER_BEFORE_CLOSE, invocation, reason);
   }
 
@@ -155,7 +155,7 @@
    * Reports an invocation that is unanswered after its deadline, unless the process has just been
    * stalled.
    */
-  public void overdue(InvocationRecord invocation, Moment clock) {
+  public void reportOverdue(InvocationRecord invocation, Moment clock) {
     if (clock.isAfter(stallGraceEnd)) {
       Span late = clock.since(invocation.deadline());
       violated(
@@ -166,12 +166,12 @@
   }
 
   /** Reports an exception of a part of the gateway that processed the invocation. */
-  public void failed(InvocationRecord invocation, RuntimeException cause) {
+  public void reportFailure(InvocationRecord invocation, RuntimeException cause) {
     violated(Invariant.LIFECYCLE, invocation, cause.toString());
   }
 
   /** Records that the process was stalled and runs again from now on. */
-  public void stoodStill(Moment clock) {
+  public void recordStall(Moment clock) {
     stallGraceEnd = clock.plus(STALL_GRACE);
   }
 
--- a/src/test/java/flintlead/platform/upstream/HostLeaseRenewalTest.java
+++ b/src/test/java/flintlead/platform/upstream/HostLeaseRenewalTest.java
@@ -194,7 +194,7 @@
 
   @Test
   void newWorkSentWithoutALeaseIsReportedAsAViolation() {
-    guard.sent(1, "a", transport.now());
+    guard.checkSent(1, "a", transport.now());
     assertEquals(List.of(Invariant.LEASE_BEFORE_NEW_WORK), violations);
   }
 }
--- a/src/test/java/flintlead/routing/guard/InvocationGuardTest.java
+++ b/src/test/java/flintlead/routing/guard/InvocationGuardTest.java
@@ -36,7 +36,7 @@
     assertEquals(SendVerdict.SEND, verdict(10, 20));
     assertEquals(SendVerdict.POLL_FIRST, verdict(10, 51));
     assertEquals(SendVerdict.EXPIRED, verdict(299, 300));
-    guard.clientGone(invocation);
+    guard.markClientGone(invocation);
     assertEquals(SendVerdict.ENDED, verdict(10, 20));
     assertEquals(List.of(), violated);
   }
@@ -54,23 +54,23 @@
 
   @Test
   void oneFinalAnswerAndNoneAfterTheClientHasGone() {
-    assertTrue(guard.mayAnswer(invocation));
-    assertFalse(guard.mayAnswer(invocation));
-    assertFalse(guard.clientGone(invocation));
+    assertTrue(guard.markAnswered(invocation));
+    assertFalse(guard.markAnswered(invocation));
+    assertFalse(guard.markClientGone(invocation));
     InvocationRecord disconnected = guard.begin("b", START, Span.ofMillis(300));
-    assertTrue(guard.clientGone(disconnected));
-    assertFalse(guard.mayAnswer(disconnected));
+    assertTrue(guard.markClientGone(disconnected));
+    assertFalse(guard.markAnswered(disconnected));
     assertEquals(List.of(Invariant.ONE_FINAL_ANSWER, Invariant.ONE_FINAL_ANSWER), violated);
   }
 
   @Test
   void violationsByAnAttemptThatWasSentAreCounted() {
-    guard.sent(invocation, after(0), Span.ofMillis(300), after(90));
+    guard.checkSent(invocation, after(0), Span.ofMillis(300), after(90));
     assertEquals(List.of(), violated);
-    guard.sent(invocation, after(0), Span.ofMillis(100), after(101));
-    guard.sent(invocation, after(100), Span.ofMillis(351), after(100));
-    guard.mayAnswer(invocation);
-    guard.sent(invocation, after(100), Span.ofMillis(10), after(100));
+    guard.checkSent(invocation, after(0), Span.ofMillis(100), after(101));
+    guard.checkSent(invocation, after(100), Span.ofMillis(351), after(100));
+    guard.markAnswered(invocation);
+    guard.checkSent(invocation, after(100), Span.ofMillis(10), after(100));
     assertEquals(
         List.of(
             Invariant.CLIENT_SEEN_BEFORE_ATTEMPT,
@@ -83,12 +83,12 @@
 
   @Test
   void anOverdueInvocationIsAViolationUnlessTheProcessWasStalled() {
-    guard.stoodStill(after(400));
-    guard.overdue(invocation, after(500));
+    guard.recordStall(after(400));
+    guard.reportOverdue(invocation, after(500));
     assertEquals(List.of(), violated);
-    guard.overdue(invocation, after(700));
-    guard.closedUnanswered(invocation, "scripted");
-    guard.failed(invocation, new IllegalStateException("scripted"));
+    guard.reportOverdue(invocation, after(700));
+    guard.reportClosedUnanswered(invocation, "scripted");
+    guard.reportFailure(invocation, new IllegalStateException("scripted"));
     assertEquals(
         List.of(Invariant.ANSWER_IN_TIME, Invariant.ANSWER_BEFORE_CLOSE, Invariant.LIFECYCLE),
         violated);
