--- a/src/main/java/flintlead/platform/AttemptRunner.java
+++ b/src/main/java/flintlead/platform/AttemptRunner.java
@@ -54,7 +54,7 @@
     HostAttempt attempt =
         new HostAttempt(this, invocation, previous, pools.get(host), loop.now(), abandonAt);
     attempts.add(attempt);
-    invocation.record().note(loop.now(), "attempt " + attempt.number() + " at host " + host);
+    invocation.record().addEvent(loop.now(), "attempt " + attempt.number() + " at host " + host);
     if (!attempt.hasHost()) {
       endLater(attempt, Outcome.CONNECT_FAILED);
       return;
@@ -104,7 +104,7 @@
     }
     counters.attemptEnded(outcome);
     PendingInvocation invocation = attempt.invocation();
-    invocation.record().note(loop.now(), "attempt " + attempt.number() + " ended " + outcome);
+    invocation.record().addEvent(loop.now(), "attempt " + attempt.number() + " ended " + outcome);
     if (outcome == Outcome.OK && registry.isOpen(invocation)) {
       registry.respond(invocation, "succeeded", client -> client.succeeded(body));
     }
--- a/src/main/java/flintlead/platform/HostAttempt.java
+++ b/src/main/java/flintlead/platform/HostAttempt.java
@@ -135,7 +135,7 @@
   @Override
   protected void writtenToSocket(Moment clock) {
     runner.guard().checkSent(invocation.record(), invocation.client().seenOpenAt(), grantedTime, clock);
-    invocation.record().note(clock, "attempt " + number + " sent");
+    invocation.record().addEvent(clock, "attempt " + number + " sent");
   }
 
   @Override
--- a/src/main/java/flintlead/platform/InvocationRegistry.java
+++ b/src/main/java/flintlead/platform/InvocationRegistry.java
@@ -106,7 +106,7 @@
       PendingInvocation invocation,
       String outcome,
       Consumer<InvocationHandler.ResponseCallback> response) {
-    invocation.record().note(loop.now(), outcome);
+    invocation.record().addEvent(loop.now(), outcome);
     if (guard.markAnswered(invocation.record())) {
       responses.complete(invocation.id(), response);
     }
@@ -117,7 +117,7 @@
    * disconnected.
    */
   void discardResponse(PendingInvocation invocation) {
-    invocation.record().note(loop.now(), "client gone");
+    invocation.record().addEvent(loop.now(), "client gone");
     if (guard.markClientGone(invocation.record())) {
       responses.complete(invocation.id(), client -> {});
     }
--- a/src/main/java/flintlead/routing/guard/InvocationRecord.java
+++ b/src/main/java/flintlead/routing/guard/InvocationRecord.java
@@ -54,7 +54,7 @@
   }
 
   /** Adds an event to its history. */
-  public void note(Moment at, String text) {
+  public void addEvent(Moment at, String text) {
     if (events.size() < MAX_EVENTS) {
       events.add(new Event(at, text));
     } else {
--- a/src/test/java/flintlead/routing/guard/InvocationGuardTest.java
+++ b/src/test/java/flintlead/routing/guard/InvocationGuardTest.java
@@ -96,8 +96,8 @@
 
   @Test
   void theHistoryIsRelativeToTheEarliestArrival() {
-    invocation.note(after(5), "attempt 0 sent");
-    invocation.note(after(25), "throttled");
+    invocation.addEvent(after(5), "attempt 0 sent");
+    invocation.addEvent(after(25), "throttled");
     assertEquals("+5 attempt 0 sent; +25 throttled", invocation.history());
   }
 }
