--- a/src/main/java/flintlead/platform/PlatformServer.java
+++ b/src/main/java/flintlead/platform/PlatformServer.java
@@ -9,7 +9,7 @@
 import flintlead.platform.journal.JournalClient;
 import flintlead.platform.journal.JsonReader;
 import flintlead.platform.upstream.ConnectionPools;
-import flintlead.platform.upstream.LinkLimits;
+import flintlead.platform.upstream.HostConnectionLimits;
 import flintlead.routing.admission.AdmissionController;
 import flintlead.routing.guard.HostSendGuard;
 import flintlead.routing.guard.Invariant;
@@ -149,7 +149,7 @@
         settings.span("rules.drain_grace"), deployment.supportsProbes(), deployment.gateways());
   }
 
-  private ConnectionPools connectionPools(LinkLimits limits, LeaseTerms terms) {
+  private ConnectionPools connectionPools(HostConnectionLimits limits, LeaseTerms terms) {
     LeaseLog leaseLog = new LeaseLog(log, host -> pools.hostName(host));
     HostLeases leases = new HostLeases(terms, leaseLog);
     HostSendGuard guard = new HostSendGuard(leases, new InvariantMonitor(this::logViolation));
@@ -182,8 +182,8 @@
         log);
   }
 
-  private static LinkLimits hostLimits(StartupSettings settings, int descriptors) {
-    return new LinkLimits(
+  private static HostConnectionLimits hostLimits(StartupSettings settings, int descriptors) {
+    return new HostConnectionLimits(
         Math.max(MIN_HOST_CONNECTIONS, descriptors),
         Math.max(1, (int) settings.number("limits.max_streams")),
         MAX_RESPONSE_BODY_BYTES,
--- a/src/main/java/flintlead/platform/upstream/ConnectionPool.java
+++ b/src/main/java/flintlead/platform/upstream/ConnectionPool.java
@@ -82,7 +82,7 @@
     return pools.loop();
   }
 
-  LinkLimits limits() {
+  HostConnectionLimits limits() {
     return pools.limits();
   }
 
--- a/src/main/java/flintlead/platform/upstream/ConnectionPools.java
+++ b/src/main/java/flintlead/platform/upstream/ConnectionPools.java
@@ -29,7 +29,7 @@
 
   private static final int MIN_CONNECTIONS_PER_HOST = 2;
 
-  private final LinkLimits limits;
+  private final HostConnectionLimits limits;
   private final EventExecutor loop;
   private final Transport transport;
   private final HostSendGuard guard;
@@ -54,7 +54,7 @@
    * @param log receives {@code host_response_malformed}
    */
   public ConnectionPools(
-      LinkLimits limits, EventExecutor loop, Transport transport, HostSendGuard guard, Logger log) {
+      HostConnectionLimits limits, EventExecutor loop, Transport transport, HostSendGuard guard, Logger log) {
     this.limits = limits;
     this.loop = loop;
     this.transport = transport;
@@ -131,7 +131,7 @@
     return connections;
   }
 
-  LinkLimits limits() {
+  HostConnectionLimits limits() {
     return limits;
   }
 
--- a/src/main/java/flintlead/platform/upstream/LinkLimits.java
+++ b/src/main/java/flintlead/platform/upstream/HostConnectionLimits.java
@@ -13,7 +13,7 @@
  * @param drainGrace time after the beginning of a drain during which the host may still receive new
  *     requests
  */
-public record LinkLimits(
+public record HostConnectionLimits(
     int maxConnections,
     int maxRequestsPerConnection,
     int maxResponseBytes,
--- a/src/test/java/flintlead/golden/HostLinesTest.java
+++ b/src/test/java/flintlead/golden/HostLinesTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 
 import flintlead.platform.upstream.ConnectionPools;
-import flintlead.platform.upstream.LinkLimits;
+import flintlead.platform.upstream.HostConnectionLimits;
 import flintlead.platform.upstream.Request;
 import flintlead.platform.upstream.ResponseFields;
 import flintlead.routing.guard.HostSendGuard;
@@ -30,8 +30,8 @@
 @Timeout(30)
 class HostLinesTest {
 
-  private static final LinkLimits TERMS =
-      new LinkLimits(8, 4, 1_000, Span.ofMillis(500), Span.ofMillis(5_000), Span.ofMillis(1_000));
+  private static final HostConnectionLimits TERMS =
+      new HostConnectionLimits(8, 4, 1_000, Span.ofMillis(500), Span.ofMillis(5_000), Span.ofMillis(1_000));
 
   @TempDir Path folder;
 
--- a/src/test/java/flintlead/platform/upstream/ConnectionPoolTest.java
+++ b/src/test/java/flintlead/platform/upstream/ConnectionPoolTest.java
@@ -30,7 +30,7 @@
   private final List<Ended> outcomes = new ArrayList<>();
   private final ConnectionPools pools =
       new ConnectionPools(
-          new LinkLimits(
+          new HostConnectionLimits(
               100, 10, 1_000, Span.ofMillis(250), Span.ofMillis(15_000), Span.ofMillis(1_000)),
           transport,
           transport,
--- a/src/test/java/flintlead/platform/upstream/HostLeaseRenewalTest.java
+++ b/src/test/java/flintlead/platform/upstream/HostLeaseRenewalTest.java
@@ -39,7 +39,7 @@
           leases, new InvariantMonitor((invariant, id, detail) -> violations.add(invariant)));
   private final ConnectionPools pools =
       new ConnectionPools(
-          new LinkLimits(
+          new HostConnectionLimits(
               100, 10, 1_000, Span.ofMillis(250), Span.ofMillis(15_000), Span.ofMillis(1_000)),
           transport,
           transport,
