--- a/src/main/java/flintlead/platform/HostFeedback.java
+++ b/src/main/java/flintlead/platform/HostFeedback.java
@@ -62,7 +62,7 @@
   }
 
   private int requestsAhead(ResponseFields fields) {
-    return reportsRequestsAhead ? Math.min(MAX_REQUESTS_AHEAD, fields.number("ahead", 0)) : 0;
+    return reportsRequestsAhead ? Math.min(MAX_REQUESTS_AHEAD, fields.getInt("ahead", 0)) : 0;
   }
 
   /**
--- a/src/main/java/flintlead/platform/PlatformSchedulerContext.java
+++ b/src/main/java/flintlead/platform/PlatformSchedulerContext.java
@@ -124,7 +124,7 @@
         function,
         copies,
         (outcome, elapsed, fields) ->
-            scheduler.loadCompleted(host, function, outcome, elapsed, fields.number("units", 0)));
+            scheduler.loadCompleted(host, function, outcome, elapsed, fields.getInt("units", 0)));
   }
 
   @Override
--- a/src/main/java/flintlead/platform/upstream/ResponseFields.java
+++ b/src/main/java/flintlead/platform/upstream/ResponseFields.java
@@ -38,7 +38,7 @@
    * The value of a field as an integer of at most nine digits; {@code defaultValue} if there is no
    * such value.
    */
-  public int number(String name, int defaultValue) {
+  public int getInt(String name, int defaultValue) {
     String value = get(name);
     if (value == null || value.isEmpty() || value.length() > MAX_DIGITS) {
       return defaultValue;
--- a/src/test/java/flintlead/golden/HostLinesTest.java
+++ b/src/test/java/flintlead/golden/HostLinesTest.java
@@ -55,7 +55,7 @@
               + ", tell "
               + fields.get("tell")
               + ", units "
-              + fields.number("units", 0)
+              + fields.getInt("units", 0)
               + ", waiting "
               + fields.loadReportValue("waiting")
               + ", body "
--- a/src/test/java/flintlead/platform/upstream/HostResponseParserTest.java
+++ b/src/test/java/flintlead/platform/upstream/HostResponseParserTest.java
@@ -122,8 +122,8 @@
     assertEquals("broken", fields.get("tell"));
     assertEquals(3.5f, fields.loadReportValue("waiting"));
     assertTrue(Float.isNaN(fields.loadReportValue("util")));
-    assertEquals(2, fields.number("units", 0));
-    assertEquals(9, fields.number("tell", 9));
+    assertEquals(2, fields.getInt("units", 0));
+    assertEquals(9, fields.getInt("tell", 9));
     assertNull(ResponseFields.NONE.get("tell"));
   }
 }
