--- a/src/main/java/flintlead/platform/PlatformGateway.java
+++ b/src/main/java/flintlead/platform/PlatformGateway.java
@@ -91,7 +91,7 @@
         new TrafficCounters.State(
             openCount(),
             pools.connections(),
-            pools.pollDeferredSends(),
+            pools.takeDeferredSends(),
             leases.takeRefusals(),
             monitor));
   }
--- a/src/main/java/flintlead/platform/upstream/ConnectionPools.java
+++ b/src/main/java/flintlead/platform/upstream/ConnectionPools.java
@@ -84,7 +84,7 @@
    * Returns and resets the number of times that requests were deferred until the next poll of the
    * sockets.
    */
-  public int pollDeferredSends() {
+  public int takeDeferredSends() {
     int count = deferredSends;
     deferredSends = 0;
     return count;
