--- a/src/main/java/flintlead/platform/PlatformServer.java
+++ b/src/main/java/flintlead/platform/PlatformServer.java
@@ -228,7 +228,7 @@
   }
 
   private void reloaded(PlatformConfig changed) {
-    journal.moveTo(changed.journal());
+    journal.changeAddress(changed.journal());
   }
 
   // ---- shutdown ----
--- a/src/main/java/flintlead/platform/journal/JournalClient.java
+++ b/src/main/java/flintlead/platform/journal/JournalClient.java
@@ -88,7 +88,7 @@
   }
 
   /** Connects to another address of the service and continues after the last applied event. */
-  public void moveTo(Address to) {
+  public void changeAddress(Address to) {
     if (!stopped && !to.equals(address)) {
       address = to;
       failures.reset();
--- a/src/test/java/flintlead/platform/EventRaceTest.java
+++ b/src/test/java/flintlead/platform/EventRaceTest.java
@@ -195,7 +195,7 @@
     loop.execute(
         () -> {
           tail.stop();
-          tail.moveTo(Address.parseTcp(other.address()));
+          tail.changeAddress(Address.parseTcp(other.address()));
         });
     loop.execute(() -> {});
     Socket afterwards =
