--- a/src/main/java/flintlead/platform/HostAttempt.java
+++ b/src/main/java/flintlead/platform/HostAttempt.java
@@ -98,7 +98,7 @@
    */
   void start(Runnable cancelTimer) {
     abandonTimer = cancelTimer;
-    pool.run(this);
+    pool.submit(this);
   }
 
   /** Ends the attempt if it is still queued; its outcome is delivered later. */
--- a/src/main/java/flintlead/platform/HostOperations.java
+++ b/src/main/java/flintlead/platform/HostOperations.java
@@ -96,7 +96,7 @@
 
   private void run(ConnectionPool pool, Operation operation, Span timeout) {
     loop.scheduleAt(loop.now().plus(timeout), () -> timeOut(pool, operation));
-    pool.run(operation);
+    pool.submit(operation);
   }
 
   private static void timeOut(ConnectionPool pool, Operation operation) {
--- a/src/main/java/flintlead/platform/upstream/ConnectionPool.java
+++ b/src/main/java/flintlead/platform/upstream/ConnectionPool.java
@@ -93,7 +93,7 @@
   // ---- requests ----
 
   /** Sends the request or queues it. The outcome is never delivered within this call. */
-  public void run(Request request) {
+  public void submit(Request request) {
     if (!isActive()) {
       endLater(request, Outcome.CONNECT_FAILED);
     } else if (queue.size() + renewal.waitingCount() >= MAX_QUEUED_REQUESTS) {
--- a/src/main/java/flintlead/platform/upstream/HostLeaseRenewal.java
+++ b/src/main/java/flintlead/platform/upstream/HostLeaseRenewal.java
@@ -126,7 +126,7 @@
     Probe begun = new Probe("p" + Long.toString(probes++, TAG_RADIX));
     probe = begun;
     pool.loop().scheduleAfter(pool.limits().connectTimeout(), () -> timeOut(begun));
-    pool.run(begun);
+    pool.submit(begun);
   }
 
   private void timeOut(Probe late) {
--- a/src/test/java/flintlead/golden/HostLinesTest.java
+++ b/src/test/java/flintlead/golden/HostLinesTest.java
@@ -104,7 +104,7 @@
                         new InvariantMonitor((invariant, id, detail) -> {})),
                     NOPLogger.NOP_LOGGER);
             pools.update(1, "s", new Address.Unix(folder.resolve("h")), new Moment(0), false);
-            pools.get(1).run(noted);
+            pools.get(1).submit(noted);
           });
       assertEquals(
           meaning + ", tell hot, units 2, waiting 3.5, body body",
--- a/src/test/java/flintlead/platform/upstream/ConnectionPoolTest.java
+++ b/src/test/java/flintlead/platform/upstream/ConnectionPoolTest.java
@@ -59,7 +59,7 @@
             outcomes.add(new Ended(id, outcome));
           }
         };
-    pool.run(request);
+    pool.submit(request);
     return request;
   }
 
--- a/src/test/java/flintlead/platform/upstream/HostLeaseRenewalTest.java
+++ b/src/test/java/flintlead/platform/upstream/HostLeaseRenewalTest.java
@@ -69,7 +69,7 @@
             outcomes.add(id + " " + outcome);
           }
         };
-    pool.run(request);
+    pool.submit(request);
     return request;
   }
 
