--- a/src/test/java/flintlead/platform/EventRaceTest.java
+++ b/src/test/java/flintlead/platform/EventRaceTest.java
@@ -191,7 +191,7 @@
             () -> {},
             NOPLogger.NOP_LOGGER);
     loop.execute(tail::start);
-    await().until(() -> fixture.journal.asked.size() == 1);
+    await().until(() -> fixture.journal.receivedCommands.size() == 1);
     loop.execute(
         () -> {
           tail.stop();
@@ -201,8 +201,8 @@
     Socket afterwards =
         new Socket("127.0.0.1", ((Address.Tcp) Address.parseTcp(other.address())).port());
     afterwards.getOutputStream().write("tail 7\n".getBytes(StandardCharsets.US_ASCII));
-    await().until(() -> other.asked.contains("tail 7"));
-    assertEquals(List.of("tail 7"), other.asked);
+    await().until(() -> other.receivedCommands.contains("tail 7"));
+    assertEquals(List.of("tail 7"), other.receivedCommands);
     afterwards.close();
     loop.close();
   }
--- a/src/test/java/flintlead/platform/FakeJournal.java
+++ b/src/test/java/flintlead/platform/FakeJournal.java
@@ -46,7 +46,7 @@
   private record Line(String text, long dueNanos) {}
 
   /** The commands received. */
-  final List<String> asked = new CopyOnWriteArrayList<>();
+  final List<String> receivedCommands = new CopyOnWriteArrayList<>();
 
   private final List<String> events = new ArrayList<>();
   private final List<Watch> watches = new CopyOnWriteArrayList<>();
@@ -87,7 +87,7 @@
   private void serve(Socket socket) throws IOException {
     String line = TestIo.readLine(socket.getInputStream());
     synchronized (events) {
-      asked.add(line);
+      receivedCommands.add(line);
       Watch watch = new Watch(socket, Integer.parseInt(line.split(" ")[1]));
       watches.add(watch);
       watch.sendEvents();
--- a/src/test/java/flintlead/platform/HostListRaceTest.java
+++ b/src/test/java/flintlead/platform/HostListRaceTest.java
@@ -37,14 +37,14 @@
   @Test
   void aJournalFailureRereadsAChangedConfiguration() throws Exception {
     fixture = new PlatformFixture(1, 256).start();
-    await().until(() -> fixture.journal.asked.size() == 1);
+    await().until(() -> fixture.journal.receivedCommands.size() == 1);
     FakeJournal other = fixture.anotherJournal();
     fixture.configure(other);
     java.nio.file.Files.setLastModifiedTime(
         fixture.file,
         java.nio.file.attribute.FileTime.fromMillis(System.currentTimeMillis() + 5_000));
     fixture.journal.close();
-    await().until(() -> other.asked.contains("tail 1"));
+    await().until(() -> other.receivedCommands.contains("tail 1"));
   }
 
   /**
@@ -125,7 +125,7 @@
                 "\"known\":{\"pos\":9,\"entries\":[{\"pos\":9,")
             .start();
     assertEquals(200, fixture.invoke(1, "x").status());
-    await().until(() -> fixture.journal.asked.contains("tail 9"));
+    await().until(() -> fixture.journal.receivedCommands.contains("tail 9"));
   }
 
   /** Invokes another function, given by the last four digits of its ID, and returns the status. */
--- a/src/test/java/flintlead/platform/PlatformHostTest.java
+++ b/src/test/java/flintlead/platform/PlatformHostTest.java
@@ -99,7 +99,7 @@
             .endpoint("active")
             .replaceAll("127[^\"]*", "unix:/none")
             .replace("s-0", "s-none"));
-    await().until(() -> fixture.log.isEmpty() && fixture.journal.asked.size() == 1);
+    await().until(() -> fixture.log.isEmpty() && fixture.journal.receivedCommands.size() == 1);
     for (int i = 1; i <= 20; i++) {
       int id = i;
       assertEquals(
@@ -166,7 +166,7 @@
   @ValueSource(strings = {"break", "half", "twice", "noise", "gap"})
   void hostEventsContinueAfterEveryJournalFault(String fault) throws Exception {
     start(1);
-    await().until(() -> fixture.journal.asked.equals(List.of("tail 1")));
+    await().until(() -> fixture.journal.receivedCommands.equals(List.of("tail 1")));
     FakeHost second = fixture.anotherHost("s-second", 0);
     String event =
         FakeJournal.event(
@@ -184,14 +184,14 @@
       default -> fixture.journal.breakConnections();
     }
     await().until(() -> fixture.invoke(2, "x").status() == 200 && second.invocations() > 0);
-    assertEquals(again ? List.of("tail 1", "tail 1") : List.of("tail 1"), fixture.journal.asked);
+    assertEquals(again ? List.of("tail 1", "tail 1") : List.of("tail 1"), fixture.journal.receivedCommands);
   }
 
   @Test
   void aSilentJournalIsAskedAgain() throws Exception {
     start(1);
     fixture.journal.beginOutage(FakeJournal.Outage.SILENT);
-    await().until(() -> fixture.journal.asked.size() == 2);
+    await().until(() -> fixture.journal.receivedCommands.size() == 2);
   }
 
   @Test
@@ -202,7 +202,7 @@
     fixture.platform.reload();
     assertEquals(200, fixture.invoke(1, "x").status());
     fixture.configure(other);
-    await().until(() -> other.asked.contains("tail 1"));
+    await().until(() -> other.receivedCommands.contains("tail 1"));
     assertEquals(200, fixture.invoke(2, "x").status());
   }
 }
--- a/src/test/java/flintlead/platform/ProcessTest.java
+++ b/src/test/java/flintlead/platform/ProcessTest.java
@@ -58,7 +58,7 @@
     FakeJournal other = fixture.anotherJournal();
     fixture.configure(other);
     process.signal("HUP");
-    await().until(() -> other.asked.contains("tail 1"));
+    await().until(() -> other.receivedCommands.contains("tail 1"));
     TestClient open = fixture.client().send(PlatformFixture.call(1, "open"));
     await().until(held::isHeld);
     process.signal("TERM");
@@ -104,7 +104,7 @@
     FakeHost second = fixture.anotherHost("s-second", 0);
     fixture.journal.add(false, fixture.hosts.get(0).endpoint("left"), second.endpoint("active"));
     FakeJournal back = fixture.restartedJournal();
-    await().until(() -> !back.asked.isEmpty());
+    await().until(() -> !back.receivedCommands.isEmpty());
     int[] id = {0};
     await().until(() -> fixture.invoke(++id[0], "x").status() == 200 && second.invocations() > 0);
     assertTrue(
