--- a/src/test/java/flintlead/golden/PlatformSettingsTest.java
+++ b/src/test/java/flintlead/golden/PlatformSettingsTest.java
@@ -1,7 +1,7 @@
 package flintlead.golden;
 
 import flintlead.configuration.startup.StartupSettings;
-import flintlead.platform.GatewayOfPlatform;
+import flintlead.platform.PlatformConfigAccess;
 import flintlead.platform.journal.JsonReader;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -41,7 +41,7 @@
     Map<?, ?> file = (Map<?, ?>) new JsonReader().read(Golden.read(FILE));
     Golden.check(
         "config.txt",
-        GatewayOfPlatform.startFile(Golden.read(FILE))
+        PlatformConfigAccess.listValues(Golden.read(FILE))
             + printed(StartupSettings.fromNested((Map<?, ?>) file.get("settings"))));
   }
 
@@ -85,7 +85,7 @@
       faults
           .append(key)
           .append(": ")
-          .append(GatewayOfPlatform.fault(bad.getBytes(StandardCharsets.UTF_8)))
+          .append(PlatformConfigAccess.errorOf(bad.getBytes(StandardCharsets.UTF_8)))
           .append('\n');
     }
     Golden.check("config-faults.txt", faults.toString());
--- a/src/test/java/flintlead/platform/GatewayOfPlatform.java
+++ b/src/test/java/flintlead/platform/PlatformConfigAccess.java
@@ -3,12 +3,12 @@
 import flintlead.platform.journal.JsonReader;
 
 /** Gives tests of formats access to classes that are visible only in this package. */
-public final class GatewayOfPlatform {
+public final class PlatformConfigAccess {
 
-  private GatewayOfPlatform() {}
+  private PlatformConfigAccess() {}
 
   /** Parses a gateway's configuration file and returns its values, one per line. */
-  public static String startFile(byte[] json) {
+  public static String listValues(byte[] json) {
     PlatformConfig file = PlatformConfig.parse(new JsonReader(), json);
     return "name = "
         + file.name()
@@ -28,7 +28,7 @@
   }
 
   /** Returns the error message for an invalid configuration file; fails if the file is valid. */
-  public static String fault(byte[] json) {
+  public static String errorOf(byte[] json) {
     try {
       PlatformConfig.parse(new JsonReader(), json);
     } catch (IllegalArgumentException e) {
