--- a/src/main/java/flintlead/platform/TrafficCounters.java
+++ b/src/main/java/flintlead/platform/TrafficCounters.java
@@ -33,7 +33,7 @@
   private int clientDisconnects;
   private final Map<RejectReason, Integer> rejections = new EnumMap<>(RejectReason.class);
   private final Map<CloseCause, Integer> closes = new EnumMap<>(CloseCause.class);
-  private int clientsLeft;
+  private int closedByClients;
   private int stalls;
   private Span longestStall = Span.ZERO;
 
@@ -75,8 +75,8 @@
 
   /** A client closed its connection. */
   @Override
-  public void clientLeft() {
-    clientsLeft++;
+  public void closedByClient() {
+    closedByClients++;
   }
 
   /** The process was stalled: it did not poll its sockets for that long. */
@@ -107,7 +107,7 @@
     throttled = 0;
     errored = 0;
     clientDisconnects = 0;
-    clientsLeft = 0;
+    closedByClients = 0;
     rejections.clear();
     closes.clear();
     stalls = 0;
@@ -126,7 +126,7 @@
             .addKeyValue("max_loop_delay_ms", longestStall.micros() / 1000);
     event = addIfAny(event, "standstills", stalls);
     event = addIfAny(event, "deferred_sends", state.deferredSends);
-    event = addIfAny(event, "clients_left", clientsLeft);
+    event = addIfAny(event, "clients_left", closedByClients);
     for (Map.Entry<RejectReason, Integer> rejection : rejections.entrySet()) {
       event = addIfAny(event, rejection.getKey().key(), rejection.getValue());
     }
--- a/src/main/java/flintlead/platform/downstream/ClientConnection.java
+++ b/src/main/java/flintlead/platform/downstream/ClientConnection.java
@@ -94,7 +94,7 @@
   @Override
   public void closed(String error) {
     if (releaseResources()) {
-      front.clientLeft();
+      front.closedByClient();
     }
     front.streamClosed();
   }
--- a/src/main/java/flintlead/platform/downstream/HttpFront.java
+++ b/src/main/java/flintlead/platform/downstream/HttpFront.java
@@ -69,7 +69,7 @@
     void connectionClosed(CloseCause cause);
 
     /** A client closed its connection. */
-    void clientLeft();
+    void closedByClient();
   }
 
   /**
@@ -265,8 +265,8 @@
   }
 
   /** Reports that a client closed its connection. */
-  void clientLeft() {
-    events.clientLeft();
+  void closedByClient() {
+    events.closedByClient();
   }
 
   PollClock polls() {
--- a/src/test/java/flintlead/golden/PlatformFrontWireTest.java
+++ b/src/test/java/flintlead/golden/PlatformFrontWireTest.java
@@ -128,7 +128,7 @@
               }
 
               @Override
-              public void clientLeft() {
+              public void closedByClient() {
                 // The test knows what its clients do.
               }
             },
--- a/src/test/java/flintlead/platform/downstream/HttpFrontTest.java
+++ b/src/test/java/flintlead/platform/downstream/HttpFrontTest.java
@@ -72,7 +72,7 @@
     public void connectionClosed(CloseCause cause) {}
 
     @Override
-    public void clientLeft() {}
+    public void closedByClient() {}
   }
 
   /**
