--- a/src/test/java/flintlead/platform/EventRaceTest.java
+++ b/src/test/java/flintlead/platform/EventRaceTest.java
@@ -70,13 +70,13 @@
               TestClient client =
                   fixture
                       .client()
-                      .send(PlatformFixture.call(System.nanoTime() & 0xffffff, headers, "gone"));
+                      .send(PlatformFixture.invocationRequest(System.nanoTime() & 0xffffff, headers, "gone"));
               try (client) {
                 return !client.answeredWithin(400);
               }
             });
     held.accept();
-    Response answer = fixture.client().send(PlatformFixture.call(2, headers, "stays")).response();
+    Response answer = fixture.client().send(PlatformFixture.invocationRequest(2, headers, "stays")).response();
     assertEquals("200 stays", answer.status() + " " + answer.body());
     assertEquals(List.of("stays"), List.copyOf(held.bodies));
   }
@@ -99,12 +99,12 @@
     TestClient idempotent =
         fixture
             .client()
-            .send(PlatformFixture.call(1, "X-Class: check\r\nX-Ttl-Ms: 27000\r\n", "x"));
+            .send(PlatformFixture.invocationRequest(1, "X-Class: check\r\nX-Ttl-Ms: 27000\r\n", "x"));
     TestClient tokened =
         fixture
             .client()
             .send(
-                PlatformFixture.call(
+                PlatformFixture.invocationRequest(
                         2, "X-Class: lodge\r\nX-Ttl-Ms: 27000\r\nX-Txn-Key: k\r\n", "x")
                     .replace("00aa/fire", "00ab/fire"));
     await().until(() -> fixture.hosts.get(0).invocations() == 2);
@@ -136,14 +136,14 @@
           }
         };
     TestClient idle = fixture.client();
-    assertEquals(200, idle.send(PlatformFixture.call(1, "a")).response().status());
-    TestClient open = fixture.client().send(PlatformFixture.call(2, "slow"));
-    String half = PlatformFixture.call(3, "half");
+    assertEquals(200, idle.send(PlatformFixture.invocationRequest(1, "a")).response().status());
+    TestClient open = fixture.client().send(PlatformFixture.invocationRequest(2, "slow"));
+    String half = PlatformFixture.invocationRequest(3, "half");
     TestClient halfway = fixture.client().send(half.substring(0, 40));
     await().until(slow::isHeld);
     fixture.platform.shutdown();
     await().until(() -> logged("flintlead: INFO shutdown_draining open=1"));
-    Response onIdle = idle.send(PlatformFixture.call(4, "on an idle one")).response();
+    Response onIdle = idle.send(PlatformFixture.invocationRequest(4, "on an idle one")).response();
     assertEquals("on an idle one", onIdle.body());
     assertEquals("close", onIdle.headers().get("connection"));
     assertEquals("half", halfway.send(half.substring(40)).response().body());
--- a/src/test/java/flintlead/platform/HostListRaceTest.java
+++ b/src/test/java/flintlead/platform/HostListRaceTest.java
@@ -130,7 +130,7 @@
 
   /** Invokes another function, given by the last four digits of its ID, and returns the status. */
   private int statusOf(String function) throws IOException {
-    String request = PlatformFixture.call(System.nanoTime() & 0xffffff, "x");
+    String request = PlatformFixture.invocationRequest(System.nanoTime() & 0xffffff, "x");
     return fixture
         .client()
         .send(request.replace("00aa/fire", function + "/fire"))
--- a/src/test/java/flintlead/platform/PlatformConfigTest.java
+++ b/src/test/java/flintlead/platform/PlatformConfigTest.java
@@ -37,7 +37,7 @@
         200,
         fixture
             .client()
-            .send(PlatformFixture.call(1, "x").replace("X-Merchant: mill\r\n", ""))
+            .send(PlatformFixture.invocationRequest(1, "x").replace("X-Merchant: mill\r\n", ""))
             .response()
             .status());
     assertEquals(200, fixture.invoke(2, "x").status());
--- a/src/test/java/flintlead/platform/PlatformFixture.java
+++ b/src/test/java/flintlead/platform/PlatformFixture.java
@@ -124,11 +124,11 @@
   }
 
   /** Returns a valid request. */
-  static String call(long id, String body) {
-    return call(id, "X-Class: check\r\nX-Ttl-Ms: 1360\r\n", body);
+  static String invocationRequest(long id, String body) {
+    return invocationRequest(id, "X-Class: check\r\nX-Ttl-Ms: 1360\r\n", body);
   }
 
-  static String call(long id, String headers, String body) {
+  static String invocationRequest(long id, String headers, String body) {
     return "POST /call/00000000000000aa/fire HTTP/1.1\r\nHost: api\r\nX-Txn: "
         + String.format("%016x", id)
         + "\r\nX-Merchant: mill\r\nX-More: memory_mb:100;lanes:2;load_ms:300\r\n"
@@ -142,7 +142,7 @@
   /** Sends one invocation on a new connection and returns its response. */
   Response invoke(long id, String body) throws IOException {
     try (TestClient client = client()) {
-      return client.send(call(id, body)).response();
+      return client.send(invocationRequest(id, body)).response();
     }
   }
 
--- a/src/test/java/flintlead/platform/PlatformHostTest.java
+++ b/src/test/java/flintlead/platform/PlatformHostTest.java
@@ -74,7 +74,7 @@
     TestClient client = fixture.client();
     for (int i = 1; i <= 5; i++) {
       assertEquals(
-          "good " + i, client.send(PlatformFixture.call(i, "good " + i)).response().body());
+          "good " + i, client.send(PlatformFixture.invocationRequest(i, "good " + i)).response().body());
     }
   }
 
@@ -107,7 +107,7 @@
           fixture
               .client()
               .send(
-                  PlatformFixture.call(id, "x")
+                  PlatformFixture.invocationRequest(id, "x")
                       .replace("00aa/fire", String.format("%04x/fire", id)))
               .response()
               .status());
--- a/src/test/java/flintlead/platform/PlatformTest.java
+++ b/src/test/java/flintlead/platform/PlatformTest.java
@@ -44,7 +44,7 @@
         fixture
             .client()
             .send(
-                PlatformFixture.call(
+                PlatformFixture.invocationRequest(
                     0x9b1f03aa5c7e2d41L,
                     "X-Class: lodge\r\n"
                         + "X-Ttl-Ms: 1360\r\n"
@@ -72,7 +72,7 @@
     start(1);
     TestClient client = fixture.client();
     for (int i = 1; i <= 20; i++) {
-      Response answer = client.send(PlatformFixture.call(i, "body " + i)).response();
+      Response answer = client.send(PlatformFixture.invocationRequest(i, "body " + i)).response();
       assertEquals("200 body " + i, answer.status() + " " + answer.body());
     }
   }
@@ -89,7 +89,7 @@
   void anAttemptIsCancelledWhenItsClientDisconnects() throws IOException {
     start(1);
     fixture.hosts.get(0).script = (host, from, words, body) -> {};
-    TestClient client = fixture.client().send(PlatformFixture.call(7, "x"));
+    TestClient client = fixture.client().send(PlatformFixture.invocationRequest(7, "x"));
     await().until(() -> fixture.hosts.get(0).invocations() == 1);
     client.close();
     // Closing the connection cancels the attempt on it, as the command never_mind does.
@@ -116,11 +116,11 @@
       })
   void anInvalidRequestIsAnsweredWith400AndReachesNoHost(String headers) throws IOException {
     start(1);
-    TestClient client = fixture.client().send(PlatformFixture.call(1, headers + "\r\n", "x"));
+    TestClient client = fixture.client().send(PlatformFixture.invocationRequest(1, headers + "\r\n", "x"));
     assertEquals(400, client.response().status());
     assertEquals(
         200,
-        client.send(PlatformFixture.call(2, "x")).response().status(),
+        client.send(PlatformFixture.invocationRequest(2, "x")).response().status(),
         "the connection stays open");
     assertEquals(1, fixture.hosts.get(0).invocations());
   }
@@ -136,7 +136,7 @@
                 () -> TestIo.inBackground(() -> host.answer(from, words[1] + " 200 - ", body)));
           }
         };
-    TestClient first = fixture.client().send(PlatformFixture.call(1, "first"));
+    TestClient first = fixture.client().send(PlatformFixture.invocationRequest(1, "first"));
     await().until(() -> fixture.hosts.get(0).invocations() == 1);
     assertEquals(409, fixture.invoke(1, "second").status());
     answers.get(0).run();
@@ -154,7 +154,7 @@
         fixture
             .client()
             .send(
-                PlatformFixture.call(1, "whole").replace("Content-Length: 5", "Content-Length: 9"));
+                PlatformFixture.invocationRequest(1, "whole").replace("Content-Length: 5", "Content-Length: 9"));
     assertEquals(408, silent.response().status());
     assertEquals(408, half.response().status());
     assertEquals(408, cut.response().status());
@@ -170,18 +170,18 @@
         (host, from, words, body) ->
             answers.add(
                 () -> TestIo.inBackground(() -> host.answer(from, words[1] + " 200 - ", body)));
-    TestClient client = fixture.client().send(PlatformFixture.call(1, "a"));
+    TestClient client = fixture.client().send(PlatformFixture.invocationRequest(1, "a"));
     await().until(() -> answers.size() == 1);
-    client.send(PlatformFixture.call(2, "b") + PlatformFixture.call(3, "c"));
+    client.send(PlatformFixture.invocationRequest(2, "b") + PlatformFixture.invocationRequest(3, "c"));
     answers.get(0).run();
     assertEquals(200, client.response().status());
     assertEquals(503, client.response().status());
     assertEquals(503, client.response().status());
-    TestClient flood = fixture.client().send(PlatformFixture.call(100, "a"));
+    TestClient flood = fixture.client().send(PlatformFixture.invocationRequest(100, "a"));
     await().until(() -> answers.size() == 2);
     StringBuilder many = new StringBuilder();
     for (int i = 101; i < 400; i++) {
-      many.append(PlatformFixture.call(i, "x"));
+      many.append(PlatformFixture.invocationRequest(i, "x"));
     }
     flood.send(many.toString());
     answers.get(1).run();
@@ -224,7 +224,7 @@
           host.answer(from, words[1] + " 200 - ", body);
         };
     assertEquals(200, fixture.invoke(3, "loads the function").status());
-    TestClient slow = fixture.client().send(PlatformFixture.call(1, "slow"));
+    TestClient slow = fixture.client().send(PlatformFixture.invocationRequest(1, "slow"));
     await().until(() -> fixture.hosts.get(0).invocations() == 2);
     fixture.platform.shutdown();
     assertEquals(200, fixture.invoke(0xff, "x").status(), "after the signal");
--- a/src/test/java/flintlead/platform/ProcessTest.java
+++ b/src/test/java/flintlead/platform/ProcessTest.java
@@ -59,7 +59,7 @@
     fixture.configure(other);
     process.signal("HUP");
     await().until(() -> other.receivedCommands.contains("tail 1"));
-    TestClient open = fixture.client().send(PlatformFixture.call(1, "open"));
+    TestClient open = fixture.client().send(PlatformFixture.invocationRequest(1, "open"));
     await().until(held::isHeld);
     process.signal("TERM");
     process.signal("HUP");
--- a/src/test/java/flintlead/platform/StandstillTest.java
+++ b/src/test/java/flintlead/platform/StandstillTest.java
@@ -74,7 +74,7 @@
     for (TestClient connection : connections) {
       long id = callers.size() + 1L;
       callers.add(new Caller(id, connection, System.nanoTime()));
-      connection.send(PlatformFixture.call(id, "x"));
+      connection.send(PlatformFixture.invocationRequest(id, "x"));
     }
     return callers;
   }
@@ -169,7 +169,7 @@
     TestClient client = fixture.client();
     int[] id = {0x4000};
     // An immediate response means that the host list has not been applied yet.
-    await().until(() -> isUnansweredFor(client.send(PlatformFixture.call(++id[0], "x"))));
+    await().until(() -> isUnansweredFor(client.send(PlatformFixture.invocationRequest(++id[0], "x"))));
     process.suspend();
     client.close();
     late.accept();
@@ -196,7 +196,7 @@
     LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(SIGNAL_WAIT_MILLIS));
     process.signal("CONT");
     awaitLine("process_stood_still");
-    late.send(PlatformFixture.call(0x5000, "x"));
+    late.send(PlatformFixture.invocationRequest(0x5000, "x"));
     assertTrue(late.response().status() >= 500, "no final response");
     long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentNanos);
     assertTrue(took < KILL_AFTER_MILLIS, () -> "answered " + took + " ms after SIGTERM");
