--- a/src/main/java/flintlead/platform/InvocationRegistry.java
+++ b/src/main/java/flintlead/platform/InvocationRegistry.java
@@ -166,7 +166,7 @@
   }
 
   /** Returns the invocations without a response, oldest first. */
-  List<Long> open() {
+  List<Long> openInvocations() {
     return responses.pendingInvocations();
   }
 
--- a/src/main/java/flintlead/platform/InvocationService.java
+++ b/src/main/java/flintlead/platform/InvocationService.java
@@ -146,7 +146,7 @@
    */
   void abandonAll() {
     stopping = true;
-    abandon(registry.open());
+    abandon(registry.openInvocations());
   }
 
   private void abandon(List<Long> ids) {
