--- a/src/main/java/flintlead/scheduling/Placement.java
+++ b/src/main/java/flintlead/scheduling/Placement.java
@@ -21,7 +21,7 @@
 final class Placement {
 
   /**
-   * Target concurrency of a function at each host, and the largest factors by which one answer
+   * Target concurrency of a function at each host, and the bounds of the factor by which one answer
    * changes the function's replica target.
    */
   private static final double TARGET_CONCURRENCY = 3;
--- a/src/main/java/flintlead/scheduling/lease/HostLeases.java
+++ b/src/main/java/flintlead/scheduling/lease/HostLeases.java
@@ -85,7 +85,8 @@
   }
 
   /**
-   * Tells the listener if the host list has become stale or current; must be called periodically.
+   * Notifies the listener if the host list has become stale or current; must be called
+   * periodically.
    */
   public void notifyListChanges(Moment now) {
     firstCheckAt = firstCheckAt == null ? now : firstCheckAt;
