--- a/src/main/java/flintlead/benchlink/BenchLink.java
+++ b/src/main/java/flintlead/benchlink/BenchLink.java
@@ -214,11 +214,11 @@
           in.getInt();
           Outcome outcome = readOutcome(in);
           Span elapsed = readSpan(in);
-          boolean last = in.get() != 0;
+          boolean answered = in.get() != 0;
           int remark = in.get() & 0xff;
           float[] report = readReport(in);
           return () ->
-              gateway.attemptEnded(invocation, attempt, outcome, elapsed, last, remark, report);
+              gateway.attemptEnded(invocation, attempt, outcome, elapsed, answered, remark, report);
         }
       case 5:
         {
--- a/src/main/java/flintlead/benchlink/SimulatedGateway.java
+++ b/src/main/java/flintlead/benchlink/SimulatedGateway.java
@@ -59,12 +59,12 @@
       int attempt,
       Outcome outcome,
       Span elapsed,
-      boolean last,
+      boolean answered,
       int remark,
       float[] report) {
     InvocationHandle handle = handles.get(invocation);
     if (handle != null) {
-      handle.attemptEnded(attempt, outcome, elapsed, last, remark, report);
+      handle.attemptEnded(attempt, outcome, elapsed, answered, remark, report);
       dropIfFinished(invocation, handle);
     }
   }
--- a/src/main/java/flintlead/scheduling/api/InvocationHandle.java
+++ b/src/main/java/flintlead/scheduling/api/InvocationHandle.java
@@ -10,13 +10,13 @@
    *
    * @param attempt number of the attempt, from 0
    * @param elapsed time since the attempt was sent
-   * @param last whether the client already has its final answer
+   * @param answered whether the client already has its final answer
    * @param remark the encoded {@link HostRemark} of the host
    * @param report the host's load figures in the order of {@link Deployment#reportNames}; may be
    *     empty
    */
   void attemptEnded(
-      int attempt, Outcome outcome, Span elapsed, boolean last, int remark, float[] report);
+      int attempt, Outcome outcome, Span elapsed, boolean answered, int remark, float[] report);
 
   /** The streamed response of an attempt began. */
   void responseStarted(int attempt, Span elapsed);
--- a/src/main/java/flintlead/scheduling/state/InvocationState.java
+++ b/src/main/java/flintlead/scheduling/state/InvocationState.java
@@ -115,14 +115,14 @@
 
   @Override
   public void attemptEnded(
-      int number, Outcome outcome, Span elapsed, boolean last, int remark, float[] report) {
+      int number, Outcome outcome, Span elapsed, boolean answered, int remark, float[] report) {
     Attempt attempt = attempts.get(number);
     if (attempt.outcome != null) {
       return;
     }
     attempt.end(outcome, elapsed, HostRemark.decode(remark));
     attemptsInFlight--;
-    events.attemptEnded(attempt, last);
+    events.attemptEnded(attempt, answered);
   }
 
   @Override
