--- a/src/main/java/flintlead/discovery/watch/Backoff.java
+++ b/src/main/java/flintlead/discovery/watch/Backoff.java
@@ -73,7 +73,8 @@
     if (refilledAt != null) {
       fullReadTokens =
           Math.min(
-              FULL_READ_CAPACITY, fullReadTokens + now.since(refilledAt).ratioTo(FULL_READ_INTERVAL));
+              FULL_READ_CAPACITY,
+              fullReadTokens + now.since(refilledAt).ratioTo(FULL_READ_INTERVAL));
     }
     refilledAt = now;
     fullReadTokens -= 1;
--- a/src/main/java/flintlead/gateway/HostStates.java
+++ b/src/main/java/flintlead/gateway/HostStates.java
@@ -101,7 +101,8 @@
       return Optional.empty();
     }
     boolean drained = announcedDraining.remove(host);
-    HostEntry restarted = entry.withStartedAt(startedAt).withState(drained ? listedState : entry.state());
+    HostEntry restarted =
+        entry.withStartedAt(startedAt).withState(drained ? listedState : entry.state());
     entries.put(host, restarted);
     return Optional.of(restarted);
   }
--- a/src/main/java/flintlead/platform/HostAttempt.java
+++ b/src/main/java/flintlead/platform/HostAttempt.java
@@ -134,7 +134,9 @@
 
   @Override
   protected void writtenToSocket(Moment clock) {
-    runner.guard().checkSent(invocation.record(), invocation.client().seenOpenAt(), grantedTime, clock);
+    runner
+        .guard()
+        .checkSent(invocation.record(), invocation.client().seenOpenAt(), grantedTime, clock);
     invocation.record().addEvent(clock, "attempt " + number + " sent");
   }
 
--- a/src/main/java/flintlead/platform/upstream/ConnectionPools.java
+++ b/src/main/java/flintlead/platform/upstream/ConnectionPools.java
@@ -54,7 +54,11 @@
    * @param log receives {@code host_response_malformed}
    */
   public ConnectionPools(
-      HostConnectionLimits limits, EventExecutor loop, Transport transport, HostSendGuard guard, Logger log) {
+      HostConnectionLimits limits,
+      EventExecutor loop,
+      Transport transport,
+      HostSendGuard guard,
+      Logger log) {
     this.limits = limits;
     this.loop = loop;
     this.transport = transport;
--- a/src/main/java/flintlead/routing/guard/InvocationGuard.java
+++ b/src/main/java/flintlead/routing/guard/InvocationGuard.java
@@ -97,7 +97,8 @@
    * @param granted the time that the host was granted to answer
    * @param clock the time, read after the attempt was passed to the kernel
    */
-  public void checkSent(InvocationRecord invocation, Moment clientSeenAt, Span granted, Moment clock) {
+  public void checkSent(
+      InvocationRecord invocation, Moment clientSeenAt, Span granted, Moment clock) {
     if (!invocation.isOpen()) {
       violated(
           Invariant.NO_ATTEMPT_AFTER_END,
--- a/src/main/java/flintlead/scheduling/lease/HostLeases.java
+++ b/src/main/java/flintlead/scheduling/lease/HostLeases.java
@@ -206,8 +206,8 @@
    * Records the end of a probe.
    *
    * @param askedAt when the probe was sent
-   * @param result {@link HostEvidence#PROBE} if the host answered as alive, otherwise why nothing was
-   *     proven
+   * @param result {@link HostEvidence#PROBE} if the host answered as alive, otherwise why nothing
+   *     was proven
    */
   public void probeEnded(long host, Moment askedAt, HostEvidence result, Moment now) {
     HostLease lease = lease(host);
--- a/src/test/java/flintlead/bench/LeaseCost.java
+++ b/src/test/java/flintlead/bench/LeaseCost.java
@@ -1,7 +1,7 @@
 package flintlead.bench;
 
-import flintlead.scheduling.lease.HostLeases;
 import flintlead.scheduling.lease.HostEvidence;
+import flintlead.scheduling.lease.HostLeases;
 import flintlead.scheduling.lease.LeaseListener;
 import flintlead.scheduling.lease.LeaseTerms;
 import flintlead.scheduling.lease.SendPermission;
--- a/src/test/java/flintlead/golden/HostLinesTest.java
+++ b/src/test/java/flintlead/golden/HostLinesTest.java
@@ -31,7 +31,8 @@
 class HostLinesTest {
 
   private static final HostConnectionLimits TERMS =
-      new HostConnectionLimits(8, 4, 1_000, Span.ofMillis(500), Span.ofMillis(5_000), Span.ofMillis(1_000));
+      new HostConnectionLimits(
+          8, 4, 1_000, Span.ofMillis(500), Span.ofMillis(5_000), Span.ofMillis(1_000));
 
   @TempDir Path folder;
 
--- a/src/test/java/flintlead/platform/EventRaceTest.java
+++ b/src/test/java/flintlead/platform/EventRaceTest.java
@@ -70,13 +70,16 @@
               TestClient client =
                   fixture
                       .client()
-                      .send(PlatformFixture.invocationRequest(System.nanoTime() & 0xffffff, headers, "gone"));
+                      .send(
+                          PlatformFixture.invocationRequest(
+                              System.nanoTime() & 0xffffff, headers, "gone"));
               try (client) {
                 return !client.answeredWithin(400);
               }
             });
     held.accept();
-    Response answer = fixture.client().send(PlatformFixture.invocationRequest(2, headers, "stays")).response();
+    Response answer =
+        fixture.client().send(PlatformFixture.invocationRequest(2, headers, "stays")).response();
     assertEquals("200 stays", answer.status() + " " + answer.body());
     assertEquals(List.of("stays"), List.copyOf(held.bodies));
   }
@@ -99,7 +102,8 @@
     TestClient idempotent =
         fixture
             .client()
-            .send(PlatformFixture.invocationRequest(1, "X-Class: check\r\nX-Ttl-Ms: 27000\r\n", "x"));
+            .send(
+                PlatformFixture.invocationRequest(1, "X-Class: check\r\nX-Ttl-Ms: 27000\r\n", "x"));
     TestClient tokened =
         fixture
             .client()
--- a/src/test/java/flintlead/platform/OutageRig.java
+++ b/src/test/java/flintlead/platform/OutageRig.java
@@ -112,7 +112,8 @@
                 + "\r\n";
     long retiredFunctions = id / REQUESTS_PER_NEW_FUNCTION;
     String function = String.format("%016x", 0x1000 + retiredFunctions + id % FUNCTIONS);
-    return PlatformFixture.invocationRequest(id, headers, "x").replace("00000000000000aa", function);
+    return PlatformFixture.invocationRequest(id, headers, "x")
+        .replace("00000000000000aa", function);
   }
 
   void stopClients() throws InterruptedException {
--- a/src/test/java/flintlead/platform/PlatformHostTest.java
+++ b/src/test/java/flintlead/platform/PlatformHostTest.java
@@ -74,7 +74,8 @@
     TestClient client = fixture.client();
     for (int i = 1; i <= 5; i++) {
       assertEquals(
-          "good " + i, client.send(PlatformFixture.invocationRequest(i, "good " + i)).response().body());
+          "good " + i,
+          client.send(PlatformFixture.invocationRequest(i, "good " + i)).response().body());
     }
   }
 
@@ -184,7 +185,8 @@
       default -> fixture.journal.breakConnections();
     }
     await().until(() -> fixture.invoke(2, "x").status() == 200 && second.invocations() > 0);
-    assertEquals(again ? List.of("tail 1", "tail 1") : List.of("tail 1"), fixture.journal.receivedCommands);
+    assertEquals(
+        again ? List.of("tail 1", "tail 1") : List.of("tail 1"), fixture.journal.receivedCommands);
   }
 
   @Test
--- a/src/test/java/flintlead/platform/PlatformTest.java
+++ b/src/test/java/flintlead/platform/PlatformTest.java
@@ -116,7 +116,8 @@
       })
   void anInvalidRequestIsAnsweredWith400AndReachesNoHost(String headers) throws IOException {
     start(1);
-    TestClient client = fixture.client().send(PlatformFixture.invocationRequest(1, headers + "\r\n", "x"));
+    TestClient client =
+        fixture.client().send(PlatformFixture.invocationRequest(1, headers + "\r\n", "x"));
     assertEquals(400, client.response().status());
     assertEquals(
         200,
@@ -154,7 +155,8 @@
         fixture
             .client()
             .send(
-                PlatformFixture.invocationRequest(1, "whole").replace("Content-Length: 5", "Content-Length: 9"));
+                PlatformFixture.invocationRequest(1, "whole")
+                    .replace("Content-Length: 5", "Content-Length: 9"));
     assertEquals(408, silent.response().status());
     assertEquals(408, half.response().status());
     assertEquals(408, cut.response().status());
@@ -172,7 +174,8 @@
                 () -> TestIo.inBackground(() -> host.answer(from, words[1] + " 200 - ", body)));
     TestClient client = fixture.client().send(PlatformFixture.invocationRequest(1, "a"));
     await().until(() -> answers.size() == 1);
-    client.send(PlatformFixture.invocationRequest(2, "b") + PlatformFixture.invocationRequest(3, "c"));
+    client.send(
+        PlatformFixture.invocationRequest(2, "b") + PlatformFixture.invocationRequest(3, "c"));
     answers.get(0).run();
     assertEquals(200, client.response().status());
     assertEquals(503, client.response().status());
--- a/src/test/java/flintlead/platform/StandstillTest.java
+++ b/src/test/java/flintlead/platform/StandstillTest.java
@@ -169,7 +169,8 @@
     TestClient client = fixture.client();
     int[] id = {0x4000};
     // An immediate response means that the host list has not been applied yet.
-    await().until(() -> isUnansweredFor(client.send(PlatformFixture.invocationRequest(++id[0], "x"))));
+    await()
+        .until(() -> isUnansweredFor(client.send(PlatformFixture.invocationRequest(++id[0], "x"))));
     process.suspend();
     client.close();
     late.accept();
